--- /dev/null
+++ b/crates/reedsail_cli/tests/golden.rs
@@ -0,0 +1,36 @@
+//! The command line of `reedsail`, pinned: help texts, faults of use, exit codes.
+
+use std::process::Command;
+
+fn run(arguments: &[&str]) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_reedsail"))
+        .args(arguments)
+        .output()
+        .unwrap();
+    format!(
+        "exit code {:?}\n-- standard output\n{}-- standard error\n{}",
+        output.status.code(),
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr)
+    )
+}
+
+#[test]
+fn help_texts_keep_their_form() {
+    insta::assert_snapshot!("help", run(&["--help"]));
+    for command in ["bundle", "fleet", "timeline", "keys"] {
+        insta::assert_snapshot!(format!("help_{command}"), run(&[command, "--help"]));
+    }
+}
+
+#[test]
+fn wrong_use_and_unreachable_daemons_keep_their_exit_codes() {
+    insta::assert_snapshot!("unknown_command", run(&["colour"]));
+    insta::assert_snapshot!("missing_file", run(&["bundle", "check", "no-such-file.yaml"]));
+    // Port 1 is never listened on.
+    let status = Command::new(env!("CARGO_BIN_EXE_reedsail"))
+        .args(["fleet", "status", "--daemon", "127.0.0.1:1"])
+        .status()
+        .unwrap();
+    assert_eq!(status.code(), Some(4));
+}
--- a/crates/reedsail_router/tests/common/mod.rs
+++ b/crates/reedsail_router/tests/common/mod.rs
@@ -38,6 +38,9 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
+/// The headers in which callers and stand-ins speak in these tests.
+pub(crate) const HEADERS: NativeProtocol = NativeProtocol;
+
 /// How long a test waits for a state before it fails.
 const LIMIT: Duration = Duration::from_secs(30);
 
--- /dev/null
+++ b/crates/reedsail_router/tests/golden.rs
@@ -0,0 +1,387 @@
+//! What operators and other instances see of a router, pinned: settings, metrics, log lines, and the
+//! pages that peers fetch. A change of a snapshot here changes a name that others rely on.
+
+mod common;
+
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::sync::Mutex;
+
+use reedsail_dispatch::ServerChange;
+use reedsail_dispatch::ServerNews;
+use reedsail_dispatch::ServerRecord;
+use reedsail_document::render_faults;
+use reedsail_events::Event;
+use reedsail_events::EventKind;
+use reedsail_router::Configuration;
+use reedsail_router::ConfigurationSource;
+use reedsail_router::RouterSettings;
+use reedsail_router::RunningRouter;
+use reedsail_router::ServerSource;
+use reedsail_router::SourceError;
+use reedsail_standin::RoutedAnswer;
+use tokio::sync::mpsc;
+
+use common::Caller;
+use common::HEADERS;
+use common::Site;
+use common::Store;
+use common::ask;
+use common::configuration;
+use common::read_body;
+use common::request;
+use common::settings;
+use common::start;
+use common::wait_for;
+use common::wait_until_ready;
+
+const FULL_SETTINGS: &str = "\
+instance: hall-a-1
+failure_domain: hall-a
+listen:
+  callers: 127.0.0.1:1
+  readiness: 127.0.0.1:2
+  admin: 127.0.0.1:3
+  peers: 127.0.0.1:4
+readiness_path: /ready
+store: 127.0.0.1:5
+seeds: [127.0.0.1:6, 127.0.0.1:7]
+memory_mb: 200
+stop:
+  accept_ms: 11
+  end_ms: 12
+dispatch:
+  repeat_ratio: 0.5
+  repeat_window_ms: 13
+  repeat_slack: 14
+  share_window_ms: 15
+  report_valid_ms: 16
+log_lines_per_s: 17
+";
+
+const LEAST_SETTINGS: &str = "\
+instance: hall-a-1
+failure_domain: hall-a
+listen: {callers: 127.0.0.1:1, readiness: 127.0.0.1:2, admin: 127.0.0.1:3, peers: 127.0.0.1:4}
+readiness_path: /ready
+store: 127.0.0.1:5
+";
+
+/// Shows every value under the key that operators know it by.
+fn shown(read: &RouterSettings) -> String {
+    let listen = read.listen;
+    let (stop, dispatch) = (read.stop, read.dispatch);
+    let rows = [
+        ("instance", read.instance.clone()),
+        ("failure_domain", read.failure_domain.clone()),
+        ("listen.callers", listen.callers.to_string()),
+        ("listen.readiness", listen.readiness.to_string()),
+        ("listen.admin", listen.admin.to_string()),
+        ("listen.peers", listen.peers.to_string()),
+        ("readiness_path", read.readiness_path.clone()),
+        ("store", read.store.to_string()),
+        ("seeds", format!("{:?}", read.seeds)),
+        ("memory_mb", read.memory_mb.to_string()),
+        ("memory_mb, open requests", read.open_requests_max().to_string()),
+        ("memory_mb, connections", read.connections_max().to_string()),
+        ("stop.accept_ms", stop.accept_ms.to_string()),
+        ("stop.end_ms", stop.end_ms.to_string()),
+        ("dispatch.repeat_ratio", dispatch.repeat_ratio.to_string()),
+        ("dispatch.repeat_window_ms", dispatch.repeat_window_ms.to_string()),
+        ("dispatch.repeat_slack", dispatch.repeat_slack.to_string()),
+        ("dispatch.share_window_ms", dispatch.share_window_ms.to_string()),
+        ("dispatch.report_valid_ms", dispatch.report_valid_ms.to_string()),
+        ("log_lines_per_s", read.log_lines_per_s.to_string()),
+    ];
+    rows.map(|(key, value)| format!("{key} = {value}\n")).concat()
+}
+
+#[test]
+fn settings_keep_their_keys_and_defaults() {
+    insta::assert_snapshot!("settings_full", shown(&RouterSettings::read(FULL_SETTINGS).unwrap()));
+    insta::assert_snapshot!("settings_least", shown(&RouterSettings::read(LEAST_SETTINGS).unwrap()));
+}
+
+#[test]
+fn faults_of_settings_keep_their_texts() {
+    let bad = "\
+instance: 'a b'
+failure_domain: ''
+listen: {callers: here, readiness: 1, admin: [], peers: 127.0.0.1:99999, colour: red}
+readiness_path: {}
+store: nowhere
+seeds: [127.0.0.1]
+memory_mb: 1
+stop: {accept_ms: 0, end_ms: 86400001, colour: red}
+dispatch: {repeat_ratio: -1, repeat_window_ms: 0, repeat_slack: x, share_window_ms: -1, report_valid_ms: 1.5}
+log_lines_per_s: 0
+colour: red
+";
+    insta::assert_snapshot!("settings_faults", render_faults(&RouterSettings::read(bad).unwrap_err()));
+    let order = format!("{LEAST_SETTINGS}stop: {{accept_ms: 9, end_ms: 8}}\n");
+    insta::assert_snapshot!("settings_order", render_faults(&RouterSettings::read(&order).unwrap_err()));
+    insta::assert_snapshot!("settings_none", render_faults(&RouterSettings::read("{}").unwrap_err()));
+}
+
+#[tokio::test]
+async fn the_pages_that_peers_fetch_keep_their_form() {
+    let site = Site::start().await;
+    let peers = site.router.addresses().peers;
+    let shown = ask(peers, "/configuration", &[]).await;
+    assert_eq!(shown.header("content-type"), "application/json");
+    insta::assert_snapshot!("page_configuration", shown.text());
+    let servers = ask(peers, "/servers", &[]).await;
+    assert_eq!(servers.header("content-type"), "application/json");
+    let mut text = servers.text().to_owned();
+    for (server, name) in [(&site.app, "APP"), (&site.llm, "LLM")] {
+        text = text.replace(&server.address().to_string(), name);
+    }
+    let mut parsed: serde_json::Value = serde_json::from_str(&text).unwrap();
+    parsed["age_ms"] = 0.into();
+    let records = parsed["records"].as_array_mut().unwrap();
+    records.sort_by_key(|record| record["id"].to_string());
+    insta::assert_snapshot!("page_servers", parsed.to_string());
+}
+
+/// Returns the names of the metrics of a page, each with its labels and their values.
+fn metric_names(page: &str) -> String {
+    let mut names = BTreeSet::new();
+    for line in page.lines().filter(|line| !line.starts_with('#')) {
+        names.insert(line.rsplit_once(' ').unwrap().0.to_owned());
+    }
+    names.into_iter().map(|name| name + "\n").collect()
+}
+
+#[tokio::test]
+async fn metrics_keep_their_names_and_labels() {
+    let site = Site::start().await;
+    let second = site.add_server("app-2", "app").await;
+    let fails = RoutedAnswer::Whole {
+        status: 500,
+        bytes: 1,
+    };
+    let whole = RoutedAnswer::Whole {
+        status: 200,
+        bytes: 1,
+    };
+    for (bad, good) in [(&site.app, &second), (&second, &site.app)] {
+        bad.answer_with(&[fails]);
+        good.answer_with(&[whole]);
+        ask(site.callers(), "/again/", &[]).await;
+    }
+    ask(site.callers(), "/nowhere/", &[]).await;
+    let mut other = settings("hall-a-2");
+    other.seeds = vec![site.router.addresses().peers];
+    let other = start(&Store::new(None, None), other);
+    wait_until_ready(&other).await;
+    let admin = site.router.addresses().admin;
+    wait_for("every metric", async || {
+        let page = ask(admin, "/metrics", &[]).await;
+        let page = page.text();
+        ["sent", "received", "servers", "unknown_route", "server_failure"]
+            .iter()
+            .all(|value| page.contains(&format!("\"{value}\"")))
+    })
+    .await;
+    let page = ask(admin, "/metrics", &[]).await;
+    insta::assert_snapshot!("metrics", metric_names(page.text()));
+}
+
+/// Keeps every log line of this process.
+struct Lines(Mutex<Vec<String>>);
+
+static LINES: Lines = Lines(Mutex::new(Vec::new()));
+
+impl log::Log for Lines {
+    fn enabled(&self, _: &log::Metadata<'_>) -> bool {
+        true
+    }
+
+    fn log(&self, record: &log::Record<'_>) {
+        if record.target() == "reedsail" {
+            self.0.lock().unwrap().push(record.args().to_string());
+        }
+    }
+
+    fn flush(&self) {}
+}
+
+fn has_line(kind: EventKind, text: &str) -> bool {
+    let name = format!("\"name\":\"{}\"", kind.name());
+    let lines = LINES.0.lock().unwrap();
+    lines.iter().any(|line| line.contains(&name) && line.contains(text))
+}
+
+async fn wait_for_line(kind: EventKind, text: &str) {
+    wait_for(kind.name(), async || has_line(kind, text)).await;
+}
+
+/// A source that says what it is handed.
+struct Handed<T>(mpsc::UnboundedReceiver<Result<T, SourceError>>);
+
+impl ConfigurationSource for Handed<Option<Configuration>> {
+    async fn next(&mut self, _: u64) -> Result<Option<Configuration>, SourceError> {
+        self.0.recv().await.unwrap()
+    }
+}
+
+impl ServerSource for Handed<ServerNews> {
+    async fn poll(&mut self, _: u64) -> Result<ServerNews, SourceError> {
+        self.0.recv().await.unwrap()
+    }
+}
+
+fn server(is_leaving: bool) -> ServerRecord {
+    ServerRecord {
+        id: "app-1".to_owned(),
+        service: "app".to_owned(),
+        address: "127.0.0.1:9".parse().unwrap(),
+        failure_domain: "hall-a".to_owned(),
+        slots: 4,
+        is_leaving,
+    }
+}
+
+/// Brings about every change of what a router believes.
+async fn change_beliefs() {
+    let (configurations, source) = mpsc::unbounded_channel();
+    let (servers, server_source) = mpsc::unbounded_channel();
+    let make = move || (Handed(source), Handed(server_source));
+    let router = RunningRouter::start(settings("hall-b-1"), HEADERS, make).unwrap();
+    let mut revision = 0;
+    let mut show = |changes: Vec<ServerChange>| {
+        revision += 1;
+        let news = ServerNews {
+            revision,
+            is_whole: false,
+            changes,
+        };
+        servers.send(Ok(news)).unwrap();
+    };
+    configurations.send(Ok(Some(configuration(1)))).unwrap();
+    wait_for_line(EventKind::ConfigurationInForce, "hall-b-1").await;
+    let unreadable = SourceError::Unreadable("it is torn".to_owned());
+    configurations.send(Err(unreadable)).unwrap();
+    wait_for_line(EventKind::ConfigurationInvalid, "torn").await;
+    wait_for_line(EventKind::SourceLost, "hall-b-1").await;
+    configurations.send(Ok(Some(configuration(2)))).unwrap();
+    wait_for_line(EventKind::SourceBack, "hall-b-1").await;
+    show(vec![ServerChange::Announced(server(false))]);
+    wait_for_line(EventKind::ServerListed, "hall-b-1").await;
+    show(vec![ServerChange::Announced(server(true))]);
+    wait_for_line(EventKind::ServerLeaving, "hall-b-1").await;
+    show(vec![ServerChange::Unreadable {
+        id: "app-2".to_owned(),
+        fault: "it is torn".to_owned(),
+    }]);
+    wait_for_line(EventKind::ServerRecordInvalid, "hall-b-1").await;
+    show(vec![ServerChange::Dropped {
+        id: "app-1".to_owned(),
+    }]);
+    wait_for_line(EventKind::ServerUnlisted, "hall-b-1").await;
+    router.note_bad_settings("they are torn");
+    router.reload(&settings("hall-b-1")).await;
+    router.kill();
+}
+
+/// Brings about every outcome of a request that leaves a kind of line of its own.
+async fn send_requests(site: &Site) {
+    let second = site.add_server("llm-2", "llm").await;
+    let breaks = RoutedAnswer::Stream {
+        events: 6,
+        pause_after: Some(3),
+    };
+    let whole = RoutedAnswer::Stream {
+        events: 6,
+        pause_after: None,
+    };
+    site.llm.answer_with(&[breaks, whole]);
+    second.answer_with(&[breaks, whole]);
+    let mut caller = Caller::connect(site.callers()).await;
+    let mut body = caller.send(request("/resume/", &[])).await.into_body();
+    read_body(&mut body, Some("id: 3")).await;
+    let (first, other) = if site.llm.runs().is_empty() {
+        (&second, &site.llm)
+    } else {
+        (&site.llm, &second)
+    };
+    other.answer_with(&[whole]);
+    first.crash();
+    read_body(&mut body, None).await;
+    let fails = RoutedAnswer::Whole {
+        status: 500,
+        bytes: 1,
+    };
+    site.app.answer_with(&[fails]);
+    ask(site.callers(), "/again/", &[]).await;
+    ask(site.callers(), "/nowhere/", &[]).await;
+    site.app.answer_with(&[RoutedAnswer::NotRun]);
+    ask(site.callers(), "/once/", &[]).await;
+}
+
+/// Fills a router with requests that are never answered, and stops it before they are.
+async fn stop_a_full_router() {
+    let site = Site::start_with(|settings| {
+        settings.instance = "hall-c-1".to_owned();
+        settings.memory_mb = 1;
+        settings.stop.accept_ms = 10;
+        settings.stop.end_ms = 400;
+    })
+    .await;
+    site.app.answer_with(&[RoutedAnswer::Silent]);
+    let callers = site.callers();
+    let waiting: Vec<_> = (0..4)
+        .map(|_| tokio::spawn(async move { ask(callers, "/once/", &[]).await }))
+        .collect();
+    wait_for_line(EventKind::DaemonCrowded, "hall-c-1").await;
+    assert!(!site.router.close().await);
+    for asking in waiting {
+        asking.abort();
+    }
+}
+
+/// Returns the fields of each event that was logged, with the values that are names themselves.
+fn forms_of_lines() -> String {
+    const NAMES: &[&str] = &["origin", "outcome", "ran", "source"];
+    let mut forms: BTreeMap<(u16, String), BTreeSet<String>> = BTreeMap::new();
+    for line in LINES.0.lock().unwrap().iter() {
+        let event = Event::parse(line).unwrap();
+        let fields = forms.entry((event.number, event.name)).or_default();
+        for (name, value) in event.fields {
+            fields.insert(if NAMES.contains(&name.as_str()) {
+                format!("{name}={value}")
+            } else {
+                name
+            });
+        }
+    }
+    let row = |((number, name), fields): (&(u16, String), &BTreeSet<String>)| {
+        let fields: Vec<&str> = fields.iter().map(String::as_str).collect();
+        format!("{number} {name}: {}\n", fields.join(", "))
+    };
+    forms.iter().map(row).collect()
+}
+
+#[tokio::test]
+async fn log_lines_keep_their_numbers_names_and_fields() {
+    log::set_logger(&LINES).unwrap();
+    log::set_max_level(log::LevelFilter::Trace);
+    change_beliefs().await;
+    let site = Site::start().await;
+    send_requests(&site).await;
+    let mut other = settings("hall-a-2");
+    other.seeds = vec![site.router.addresses().peers];
+    let other = start(&Store::new(None, None), other);
+    wait_for_line(EventKind::PeerHeard, "\"hall-a-1\"").await;
+    wait_until_ready(&other).await;
+    other.kill();
+    wait_for_line(EventKind::PeerSuspected, "\"hall-a-1\"").await;
+    stop_a_full_router().await;
+    let router = start(&Store::new(None, None), {
+        let mut settings = settings("hall-d-1");
+        settings.stop.accept_ms = 1;
+        settings
+    });
+    assert!(router.close().await);
+    insta::assert_snapshot!("log_lines", forms_of_lines());
+}
--- /dev/null
+++ b/crates/reedsail_wire/tests/golden.rs
@@ -0,0 +1,335 @@
+//! The bytes of every message between instances, pinned: instances of two releases talk to each
+//! other during a rollout, and claim records outlive the instance that wrote them.
+//!
+//! Each test compares freshly written bytes with kept ones, and reads the kept ones back.
+
+use std::net::Ipv4Addr;
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+
+use reedsail_core::ClaimKey;
+use reedsail_core::DemandRow;
+use reedsail_core::Directory;
+use reedsail_core::LeaseRow;
+use reedsail_core::MemberKind;
+use reedsail_core::NameHash;
+use reedsail_core::Nonce;
+use reedsail_core::ServiceGrant;
+use reedsail_core::ServiceReport;
+use reedsail_core::SlotRow;
+use reedsail_core::VirtualTimeRow;
+use reedsail_dispatch::LoadReport;
+use reedsail_dispatch::PartRow;
+use reedsail_dispatch::ServerLoadRow;
+use reedsail_dispatch::WorkspaceUseRow;
+use reedsail_net::ByteCounter;
+use reedsail_net::DeflateStream;
+use reedsail_wire::ClaimBatch;
+use reedsail_wire::ClaimEnd;
+use reedsail_wire::ClaimRequest;
+use reedsail_wire::ClaimVerdict;
+use reedsail_wire::Grant;
+use reedsail_wire::LoadMessage;
+use reedsail_wire::MemberRow;
+use reedsail_wire::PeerHandler;
+use reedsail_wire::PeerLink;
+use reedsail_wire::Report;
+use reedsail_wire::serve_peers;
+use tokio::io::AsyncReadExt;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use tokio::net::TcpStream;
+use tokio::task::LocalSet;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+/// How long a connection stays quiet before its message counts as complete.
+const QUIET: Duration = Duration::from_millis(300);
+
+/// Formats bytes as lines of 32, so that a changed field shows as a changed line.
+fn hex_lines(bytes: &[u8]) -> String {
+    let lines: Vec<String> = bytes.chunks(32).map(hex::encode).collect();
+    lines.join("\n")
+}
+
+/// Reads the bytes that a snapshot of this file holds.
+fn kept(name: &str) -> Vec<u8> {
+    let file = format!("{}/tests/snapshots/golden__{name}.snap", env!("CARGO_MANIFEST_DIR"));
+    let text = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
+    let body = text.splitn(3, "---\n").nth(2).unwrap();
+    let digits: String = body.split_whitespace().collect();
+    hex::decode(digits).unwrap()
+}
+
+fn load_message() -> LoadMessage {
+    LoadMessage {
+        instance: NameHash(0x0101),
+        incarnation: 0x0202,
+        sequence: 0x0303,
+        failure_domain: NameHash(0x0404),
+        configuration_version: 0x0505,
+        configuration_age_ms: 0x0606,
+        servers_revision: 0x0707,
+        servers_digest: 0x0808,
+        servers_age_ms: 0x0909,
+        is_stopping: true,
+        load: LoadReport {
+            servers: vec![ServerLoadRow {
+                server: NameHash(0x0a0a),
+                running: 0x0b0b,
+                failure_rate: 0x0c,
+                unread_tokens: 0x0d0d,
+            }],
+            workspaces: vec![WorkspaceUseRow {
+                workspace: NameHash(0x0e0e),
+                asked_cost: 15.5,
+                begun_cost: 16.5,
+            }],
+            parts: vec![PartRow {
+                part: 0x1111,
+                server: NameHash(0x1212),
+            }],
+        },
+        leaving: vec![NameHash(0x1313)],
+        members: vec![MemberRow {
+            instance: NameHash(0x1414),
+            address: SocketAddrV4::new(Ipv4Addr::new(10, 20, 30, 40), 0x1515),
+        }],
+    }
+}
+
+#[test]
+fn the_load_message_keeps_its_bytes() {
+    let bytes = load_message().encode().unwrap();
+    insta::assert_snapshot!("load_message", hex_lines(&bytes));
+    assert_eq!(LoadMessage::decode(&kept("load_message")).unwrap(), load_message());
+}
+
+fn claim_batch() -> ClaimBatch {
+    ClaimBatch {
+        id: 0x2121,
+        claims: vec![ClaimRequest {
+            key: ClaimKey(0x2222),
+            nonce: Nonce(0x2323),
+        }],
+        ends: vec![ClaimEnd {
+            key: ClaimKey(0x2424),
+            nonce: Nonce(0x2525),
+            status: 204,
+        }],
+    }
+}
+
+#[test]
+fn a_claim_record_keeps_its_bytes() {
+    insta::assert_snapshot!("claim_batch", hex_lines(&claim_batch().to_bytes()));
+    assert_eq!(ClaimBatch::parse(&kept("claim_batch")).unwrap(), claim_batch());
+}
+
+fn directory() -> Directory {
+    let mut directory = Directory::default();
+    directory.services.intern("assistant-llm");
+    directory.workspaces.intern("labska");
+    directory.servers.intern("engine-1");
+    directory
+}
+
+fn report(directory: &Directory) -> Report {
+    let workspace = directory.workspaces.find(NameHash::of("labska")).unwrap();
+    let server = directory.servers.find(NameHash::of("engine-1")).unwrap();
+    let row = ServiceReport {
+        kind: MemberKind::Daemon,
+        session: 0x3131,
+        own_slots: 0x3232,
+        base: 1234.5,
+        slots: vec![SlotRow {
+            server,
+            held: 0x3333,
+            in_use: 0x3434,
+        }],
+        resting: vec![server],
+        demands: vec![DemandRow {
+            workspace,
+            queued: 0x3535,
+            running: 0x3636,
+            cost_total: 0x3737,
+            lead: 1.5,
+        }],
+    };
+    Report {
+        sender: NameHash::of("hall-a-1"),
+        incarnation: 0x3838,
+        clock: 0x3939,
+        bundle_version: 0x3a3a,
+        leaving: true,
+        services: vec![(directory.services.find(NameHash::of("assistant-llm")).unwrap(), row)],
+        suspects: vec![NameHash(0x3b3b)],
+        servers_leaving: vec![NameHash(0x3c3c)],
+    }
+}
+
+/// Answers with fixed values, and keeps what it was asked.
+#[derive(Clone)]
+struct Recorder {
+    directory: Rc<Directory>,
+    asked: Arc<Mutex<Vec<String>>>,
+}
+
+impl Recorder {
+    fn new() -> Self {
+        Self {
+            directory: Rc::new(directory()),
+            asked: Arc::default(),
+        }
+    }
+
+    fn asked(&self) -> String {
+        self.asked.lock().unwrap().join("\n")
+    }
+}
+
+impl PeerHandler for Recorder {
+    fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T {
+        use_it(&self.directory)
+    }
+
+    fn exchange(&self, report: Report) -> impl Future<Output = Grant> + 'static {
+        let (service, row) = &report.services[0];
+        let (server, workspace) = (row.slots[0].server, row.demands[0].workspace);
+        self.asked.lock().unwrap().push(format!("{report:?}"));
+        let grant = ServiceGrant {
+            base: 2345.5,
+            leases: vec![LeaseRow { server, slots: 0x4141 }],
+            virtual_times: vec![VirtualTimeRow {
+                workspace,
+                lead: 2.5,
+                share: 3.5,
+            }],
+        };
+        std::future::ready(Grant {
+            incarnation: 0x4242,
+            clock: 0x4343,
+            next_report_ms: 0x4444,
+            lease_ms: 0x4545,
+            services: vec![(*service, grant)],
+            leaving: vec![NameHash(0x4646)],
+        })
+    }
+
+    fn claim(
+        &self,
+        claims: Vec<ClaimRequest>,
+        ends: Vec<ClaimEnd>,
+    ) -> impl Future<Output = Vec<ClaimVerdict>> + 'static {
+        self.asked.lock().unwrap().push(format!("{claims:?} {ends:?}"));
+        std::future::ready(vec![
+            ClaimVerdict::Held,
+            ClaimVerdict::InUse,
+            ClaimVerdict::Ended(204),
+            ClaimVerdict::Unavailable,
+            ClaimVerdict::Unsettled,
+        ])
+    }
+
+    fn bundle(&self) -> impl Future<Output = Option<(u32, Vec<u8>)>> + 'static {
+        self.asked.lock().unwrap().push("bundle".to_owned());
+        std::future::ready(Some((4, b"a record".to_vec())))
+    }
+}
+
+/// Unpacks what one end of a connection sends until it is quiet.
+async fn read_until_quiet(stream: &mut DeflateStream<TcpStream>) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    let mut buffer = vec![0; 64 << 10];
+    while let Ok(Ok(length)) = timeout(QUIET, stream.read(&mut buffer)).await {
+        if length == 0 {
+            break;
+        }
+        bytes.extend_from_slice(&buffer[..length]);
+    }
+    bytes
+}
+
+/// Runs one call against a peer that never answers, and returns the bytes that the caller sent.
+async fn sent_by<F: Future<Output = ()>>(call: impl FnOnce(PeerLink) -> F) -> Vec<u8> {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let link = PeerLink::open(address, 1_000, ByteCounter::default())
+        .await
+        .unwrap();
+    let (stream, _) = listener.accept().await.unwrap();
+    let mut stream = DeflateStream::new(stream);
+    let (bytes, ()) = tokio::join!(read_until_quiet(&mut stream), call(link));
+    bytes
+}
+
+/// Sends kept bytes to an instance, and returns the bytes of its answer.
+async fn answer_to(request: &[u8], handler: Recorder) -> Vec<u8> {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    spawn_local(serve_peers(listener, Rc::new(handler), ByteCounter::default()));
+    let mut stream = DeflateStream::new(TcpStream::connect(address).await.unwrap());
+    stream.write_all(request).await.unwrap();
+    stream.flush().await.unwrap();
+    read_until_quiet(&mut stream).await
+}
+
+fn on_local_set(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    LocalSet::new().block_on(&runtime, test);
+}
+
+#[test]
+fn a_report_and_its_grant_keep_their_bytes() {
+    on_local_set(async {
+        let directory = directory();
+        let sent = sent_by(async |link| {
+            // The peer never answers.
+            let _ = link.exchange(&report(&directory), &directory).await;
+        })
+        .await;
+        insta::assert_snapshot!("exchange_request", hex_lines(&sent));
+        let handler = Recorder::new();
+        let answer = answer_to(&kept("exchange_request"), handler.clone()).await;
+        insta::assert_snapshot!("exchange_answer", hex_lines(&answer));
+        insta::assert_snapshot!("exchange_as_read", handler.asked());
+    });
+}
+
+#[test]
+fn a_claim_and_its_verdicts_keep_their_bytes() {
+    on_local_set(async {
+        let batch = claim_batch();
+        let sent = sent_by(async |link| {
+            // The peer never answers.
+            let _ = link.claim(&batch.claims, &batch.ends).await;
+        })
+        .await;
+        insta::assert_snapshot!("claim_request", hex_lines(&sent));
+        let handler = Recorder::new();
+        let answer = answer_to(&kept("claim_request"), handler.clone()).await;
+        insta::assert_snapshot!("claim_answer", hex_lines(&answer));
+        insta::assert_snapshot!("claim_as_read", handler.asked());
+    });
+}
+
+#[test]
+fn a_fetch_of_a_bundle_keeps_its_bytes() {
+    on_local_set(async {
+        let sent = sent_by(async |link| {
+            // The peer never answers.
+            let _ = link.fetch_bundle(3).await;
+        })
+        .await;
+        insta::assert_snapshot!("bundle_request", hex_lines(&sent));
+        let handler = Recorder::new();
+        let answer = answer_to(&kept("bundle_request"), handler.clone()).await;
+        insta::assert_snapshot!("bundle_answer", hex_lines(&answer));
+    });
+}
