--- a/crates/reedsail_bundle/tests/golden.rs
+++ b/crates/reedsail_bundle/tests/golden.rs
@@ -25,9 +25,17 @@
 }
 
 fn kept(name: &str) -> Vec<u8> {
-    let file = format!("{}/tests/snapshots/golden__{name}.snap", env!("CARGO_MANIFEST_DIR"));
+    let file = format!(
+        "{}/tests/snapshots/golden__{name}.snap",
+        env!("CARGO_MANIFEST_DIR")
+    );
     let text = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
-    text.splitn(3, "---\n").nth(2).unwrap().trim_end().as_bytes().to_vec()
+    text.splitn(3, "---\n")
+        .nth(2)
+        .unwrap()
+        .trim_end()
+        .as_bytes()
+        .to_vec()
 }
 
 fn text_of(record: &BundleRecord) -> String {
--- /dev/null
+++ b/crates/reedsail_dispatch/tests/decision_trace.rs
@@ -0,0 +1,472 @@
+//! A seeded drive of all decisions, with a digest of every one of them: a change of the code that is
+//! meant to keep the decisions must keep the digest.
+//!
+//! Three instances share five engines and three plain servers and exchange load reports, some of
+//! which are lost; lists change, the store fails and comes back. The snapshot shows one decision in
+//! fifty and the digest of all.
+
+use std::fmt::Write;
+
+use rand::Rng;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+use reedsail_core::NameHash;
+use reedsail_core::TimeMs;
+use reedsail_dispatch::Decision;
+use reedsail_dispatch::Demand;
+use reedsail_dispatch::DispatchSettings;
+use reedsail_dispatch::Dispatcher;
+use reedsail_dispatch::LoadReport;
+use reedsail_dispatch::PeerWord;
+use reedsail_dispatch::Prompt;
+use reedsail_dispatch::PromptPart;
+use reedsail_dispatch::RoundTimes;
+use reedsail_dispatch::Run;
+use reedsail_dispatch::RunOutcome;
+use reedsail_dispatch::ServerChange;
+use reedsail_dispatch::ServerList;
+use reedsail_dispatch::ServerNews;
+use reedsail_dispatch::ServerRecord;
+use reedsail_dispatch::ServerSetup;
+use twox_hash::XxHash64;
+
+const STEPS: u64 = 12_000;
+const SAMPLE_EVERY: u64 = 50;
+const INSTANCES: usize = 3;
+const WORKSPACES: u32 = 6;
+
+/// Everything that was decided, and a sample of it for readers.
+#[derive(Default)]
+struct Trace {
+    lines: String,
+    sample: String,
+    count: u64,
+}
+
+impl Trace {
+    fn note(&mut self, line: &str) {
+        writeln!(self.lines, "{line}").unwrap();
+        if self.count.is_multiple_of(SAMPLE_EVERY) {
+            writeln!(self.sample, "{line}").unwrap();
+        }
+        self.count += 1;
+    }
+
+    fn finish(self) -> String {
+        let digest = XxHash64::oneshot(0, self.lines.as_bytes());
+        format!("{} decisions, digest {digest:016x}\n{}", self.count, self.sample)
+    }
+}
+
+/// A request that runs, and when it answers and ends.
+struct Open {
+    run: Run,
+    answers_at: TimeMs,
+    ends_at: TimeMs,
+    outcome: RunOutcome,
+    has_answered: bool,
+}
+
+struct Instance {
+    name: NameHash,
+    dispatcher: Dispatcher,
+    open: Vec<Open>,
+}
+
+/// A deployment of a few instances, driven step by step.
+struct Deployment {
+    random: StdRng,
+    now: TimeMs,
+    instances: Vec<Instance>,
+    setups: Vec<ServerSetup>,
+    /// The reports of instance 2 reach nobody until then.
+    silent_until: TimeMs,
+    trace: Trace,
+}
+
+fn setup(index: u32) -> ServerSetup {
+    let is_engine = index < 5;
+    ServerSetup {
+        name: NameHash::of(&format!("server-{index}")),
+        service: NameHash::of(if is_engine { "llm" } else { "app" }),
+        failure_domain: NameHash::of(&format!("hall-{}", index % 3)),
+        slots: if is_engine { 16 } else { 4 },
+        is_leaving: false,
+    }
+}
+
+fn instance(index: usize) -> Instance {
+    let settings = DispatchSettings {
+        repeat_ratio: 0.2,
+        repeat_slack: 8.0,
+        ..DispatchSettings::default()
+    };
+    Instance {
+        name: NameHash::of(&format!("instance-{index}")),
+        dispatcher: Dispatcher::new(settings, NameHash::of(&format!("hall-{index}"))),
+        open: Vec::new(),
+    }
+}
+
+impl Deployment {
+    fn new(seed: u64) -> Self {
+        let mut deployment = Self {
+            random: StdRng::seed_from_u64(seed),
+            now: TimeMs(10_000),
+            instances: (0..INSTANCES).map(instance).collect(),
+            setups: (0..8).map(setup).collect(),
+            silent_until: TimeMs(0),
+            trace: Trace::default(),
+        };
+        deployment.publish();
+        deployment
+    }
+
+    fn publish(&mut self) {
+        for instance in &mut self.instances {
+            instance.dispatcher.set_servers(&self.setups);
+        }
+    }
+
+    fn step(&mut self) {
+        self.now = self.now.plus_ms(self.random.random_range(0..9));
+        match self.random.random_range(0..1_000) {
+            0..600 => self.arrive(),
+            600..760 => self.exchange_reports(),
+            760..900 => self.tick(),
+            900..940 => self.ask_for_retry(),
+            940..960 => self.change_a_server(),
+            960..970 => self.silent_until = self.now.plus_ms(2_000),
+            970..980 => self.forget_a_peer(),
+            _ => self.set_rate(),
+        }
+        self.advance_open();
+    }
+
+    fn prompt(&mut self) -> Prompt {
+        let family = self.random.random_range(0..7);
+        let lengths = [800, 3_200, 6_000];
+        let shared = (0..self.random.random_range(0..3_usize)).map(|place| PromptPart {
+            id: family * 10 + place as u64,
+            tokens: lengths[place],
+        });
+        let mut parts: Vec<PromptPart> = shared.collect();
+        parts.push(PromptPart {
+            id: self.random.random(),
+            tokens: self.random.random_range(20..4_000),
+        });
+        Prompt {
+            parts,
+            output_tokens: self.random.random_range(10..200),
+        }
+    }
+
+    fn arrive(&mut self) {
+        let index = self.random.random_range(0..INSTANCES);
+        let prompt = (self.random.random_range(0..3) > 0).then(|| self.prompt());
+        // One workspace sends half of all requests.
+        let workspace = self.random.random_range(0..WORKSPACES * 2).min(WORKSPACES);
+        let base = Demand {
+            service: NameHash::of(if prompt.is_some() { "llm" } else { "app" }),
+            workspace: NameHash(workspace),
+            prompt: prompt.as_ref(),
+            goal_ms: [150, 600, 800, 5_000][self.random.random_range(0..4)],
+            waited_ms: self.random.random_range(0..40),
+            tried: &[],
+        };
+        let now = self.now;
+        let instance = &mut self.instances[index];
+        instance.dispatcher.count_arrival(&base, now);
+        let mut tried = Vec::new();
+        for _ in 0..3 {
+            let demand = Demand {
+                tried: &tried,
+                ..base
+            };
+            let decision = instance.dispatcher.decide(&demand, now);
+            self.trace.note(&shown(now, index, &demand, &decision));
+            let Decision::Send(placement) = decision else {
+                return;
+            };
+            let run = instance.dispatcher.begin(&demand, &placement, now);
+            let outcome = self.random.random_range(0..100);
+            if outcome < 8 {
+                // It never got through, so it is placed again.
+                instance.dispatcher.finish(run, RunOutcome::Unreachable, now);
+                tried.push(placement.server);
+                continue;
+            }
+            let delay_ms = placement.expected_ms * self.random.random_range(5..60) / 10;
+            let answers_at = now.plus_ms(delay_ms);
+            instance.open.push(Open {
+                run,
+                answers_at,
+                ends_at: answers_at.plus_ms(self.random.random_range(0..900)),
+                outcome: match outcome {
+                    8..80 => RunOutcome::Answered,
+                    80..88 => RunOutcome::Failed,
+                    88..94 => RunOutcome::Rejected,
+                    _ => RunOutcome::Abandoned,
+                },
+                has_answered: false,
+            });
+            return;
+        }
+    }
+
+    fn advance_open(&mut self) {
+        let now = self.now;
+        for instance in &mut self.instances {
+            let mut left = Vec::new();
+            for mut open in instance.open.drain(..) {
+                if !open.has_answered && open.answers_at <= now && open.outcome == RunOutcome::Answered {
+                    instance.dispatcher.note_answer(&mut open.run, now);
+                    open.has_answered = true;
+                }
+                if open.ends_at <= now {
+                    instance.dispatcher.finish(open.run, open.outcome, now);
+                } else {
+                    left.push(open);
+                }
+            }
+            instance.open = left;
+        }
+    }
+
+    fn exchange_reports(&mut self) {
+        let from = self.random.random_range(0..INSTANCES);
+        let name = self.instances[from].name;
+        let mut report = self.instances[from].dispatcher.report(self.now);
+        report.workspaces.sort_by_key(|row| row.workspace);
+        self.trace.note(&format!(
+            "{} {from} reports {}",
+            self.now.0,
+            shown_report(&report)
+        ));
+        if from == 2 && self.now < self.silent_until {
+            return;
+        }
+        for (index, instance) in self.instances.iter_mut().enumerate() {
+            if index != from {
+                instance.dispatcher.hear_peer(name, report.clone(), self.now);
+            }
+        }
+    }
+
+    fn tick(&mut self) {
+        for instance in &mut self.instances {
+            instance.dispatcher.tick(self.now);
+        }
+        let server = self.setups[self.random.random_range(0..8)].name;
+        for (index, instance) in self.instances.iter().enumerate() {
+            let key = instance.dispatcher.server_key(server).unwrap();
+            let (own, all) = instance.dispatcher.running(key);
+            self.trace.note(&format!(
+                "{} {index} runs {own} of {all} at {}",
+                self.now.0, key.0
+            ));
+        }
+    }
+
+    fn ask_for_retry(&mut self) {
+        let index = self.random.random_range(0..INSTANCES);
+        let service = NameHash::of(["llm", "app"][self.random.random_range(0..2)]);
+        let granted = self.instances[index].dispatcher.take_repeat(service, self.now);
+        self.trace
+            .note(&format!("{} {index} retry {granted}", self.now.0));
+    }
+
+    fn change_a_server(&mut self) {
+        let index = self.random.random_range(0..8);
+        self.setups[index].is_leaving = !self.setups[index].is_leaving;
+        if self.random.random_range(0..4) == 0 {
+            let kept = self.setups.clone();
+            self.setups.remove(index);
+            self.publish();
+            self.setups = kept;
+        } else {
+            self.publish();
+        }
+    }
+
+    fn forget_a_peer(&mut self) {
+        let peer = self.instances[self.random.random_range(0..INSTANCES)].name;
+        let index = self.random.random_range(0..INSTANCES);
+        self.instances[index].dispatcher.forget_peer(peer);
+    }
+
+    fn set_rate(&mut self) {
+        let rate = [None, Some(100_000.0), Some(500_000.0)][self.random.random_range(0..3)];
+        for instance in &mut self.instances {
+            instance.dispatcher.set_engine_rate(rate);
+        }
+    }
+}
+
+fn shown(now: TimeMs, instance: usize, demand: &Demand<'_>, decision: &Decision) -> String {
+    let what = match decision {
+        Decision::Send(placement) => format!(
+            "to {} copy {:?} prefill {} expected {} queue {}",
+            placement.server.0,
+            placement.copy_from.map(|key| key.0),
+            placement.unread_tokens,
+            placement.expected_ms,
+            placement.queue_ms
+        ),
+        Decision::Refuse {
+            kind,
+            retry_after_ms,
+            expected_ms,
+        } => format!("{} after {retry_after_ms} expected {expected_ms:?}", kind.name()),
+    };
+    let (workspace, target_ms) = (demand.workspace.0, demand.goal_ms);
+    format!(
+        "{} {instance} workspace {workspace} target {target_ms}: {what}",
+        now.0
+    )
+}
+
+fn shown_report(report: &LoadReport) -> String {
+    let mut text = String::new();
+    for row in &report.servers {
+        let (running, tokens, rate) = (row.running, row.unread_tokens, row.failure_rate);
+        write!(text, "s{:x}:{running},{tokens},{rate} ", row.server.0).unwrap();
+    }
+    for row in &report.workspaces {
+        write!(
+            text,
+            "w{}:{},{} ",
+            row.workspace.0, row.asked_cost, row.begun_cost
+        )
+        .unwrap();
+    }
+    for row in &report.parts {
+        write!(text, "p{:x}:{:x} ", row.part, row.server.0).unwrap();
+    }
+    text
+}
+
+#[test]
+fn every_decision_of_a_seeded_drive_stays_the_same() {
+    let mut deployment = Deployment::new(11);
+    for _ in 0..STEPS {
+        deployment.step();
+    }
+    insta::assert_snapshot!("dispatcher", deployment.trace.finish());
+}
+
+fn record(index: u64, is_leaving: bool) -> ServerRecord {
+    ServerRecord {
+        id: format!("i-{index}"),
+        service: "llm".to_owned(),
+        address: ([127, 0, 0, 1], 1_000 + index as u16).into(),
+        failure_domain: "hall-a".to_owned(),
+        slots: 16,
+        is_leaving,
+    }
+}
+
+fn changes(random: &mut StdRng) -> Vec<ServerChange> {
+    (0..random.random_range(0..4))
+        .map(|_| {
+            let index = random.random_range(0..9);
+            let id = format!("i-{index}");
+            match random.random_range(0..10) {
+                0..6 => ServerChange::Announced(record(index, false)),
+                6..8 => ServerChange::Announced(record(index, true)),
+                8 => ServerChange::Dropped { id },
+                _ => ServerChange::Unreadable {
+                    id,
+                    fault: "it is torn".to_owned(),
+                },
+            }
+        })
+        .collect()
+}
+
+fn shown_list(list: &ServerList, now: TimeMs) -> String {
+    let mut departures = list.departures();
+    departures.sort();
+    let mut records = list.listing(now).records;
+    records.sort_by(|left, right| left.id.cmp(&right.id));
+    let records: Vec<String> = records
+        .iter()
+        .map(|record| format!("{}{}", record.id, if record.is_leaving { "-" } else { "" }))
+        .collect();
+    format!(
+        "revision {} age {} digest {:x} departures {departures:?} {}",
+        list.revision(),
+        list.age_ms(now),
+        list.digest(),
+        records.join(" ")
+    )
+}
+
+#[test]
+fn every_change_of_a_seeded_server_list_stays_the_same() {
+    let mut random = StdRng::seed_from_u64(12);
+    let mut trace = Trace::default();
+    let mut lists = [ServerList::default(), ServerList::default()];
+    let mut now = TimeMs(1_000);
+    let mut revision = 0;
+    for _ in 0..STEPS {
+        now = now.plus_ms(random.random_range(0..300));
+        let index = random.random_range(0..2);
+        let mut delta = match random.random_range(0..20) {
+            0..8 => {
+                let changes = changes(&mut random);
+                revision += changes.len() as u64;
+                let news = ServerNews {
+                    revision,
+                    is_whole: random.random_range(0..5) == 0,
+                    changes,
+                };
+                lists[index].apply(news, TimeMs(now.0 - 20), now)
+            }
+            8..10 => {
+                lists[index].note_trouble();
+                continue;
+            }
+            10..12 => {
+                let listing = lists[1 - index].listing(now);
+                lists[index].apply_listing(listing, now)
+            }
+            12..16 => {
+                let other = &lists[1 - index];
+                let departures = other.departures();
+                let word = PeerWord {
+                    revision: other.revision(),
+                    digest: other.digest(),
+                    age_ms: other.age_ms(now),
+                    leaving: &departures,
+                };
+                let view = lists[index].hear_peer(&word, now);
+                trace.note(&format!("{} {index} peer {}", now.0, view as u8));
+                continue;
+            }
+            _ => lists[index].tick(now),
+        };
+        for ids in [&mut delta.listed, &mut delta.leaving, &mut delta.unlisted] {
+            ids.sort();
+        }
+        let shown = shown_list(&lists[index], now);
+        trace.note(&format!("{} {index} {delta:?} {shown}", now.0));
+    }
+    insta::assert_snapshot!("server_list", trace.finish());
+}
+
+#[test]
+fn gossip_timing_stays_the_same() {
+    let rows: Vec<String> = [0, 1, 8, 25, 26, 59, 99, 320, 1_000]
+        .iter()
+        .map(|peers| {
+            let times = RoundTimes::of(*peers);
+            let (interval, silent) = (times.pause_ms, times.silent_ms);
+            format!(
+                "{peers} {interval} {silent} {} {}",
+                times.reader_silent_ms, times.news_late_ms
+            )
+        })
+        .collect();
+    insta::assert_snapshot!("gossip_timing", rows.join("\n"));
+}
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -98,8 +98,14 @@
 
 #[test]
 fn settings_keep_their_keys_and_defaults() {
-    insta::assert_snapshot!("settings_full", shown(&RouterSettings::read(FULL_SETTINGS).unwrap()));
-    insta::assert_snapshot!("settings_least", shown(&RouterSettings::read(LEAST_SETTINGS).unwrap()));
+    insta::assert_snapshot!(
+        "settings_full",
+        shown(&RouterSettings::read(FULL_SETTINGS).unwrap())
+    );
+    insta::assert_snapshot!(
+        "settings_least",
+        shown(&RouterSettings::read(LEAST_SETTINGS).unwrap())
+    );
 }
 
 #[test]
@@ -117,10 +123,19 @@
 log_lines_per_s: 0
 colour: red
 ";
-    insta::assert_snapshot!("settings_faults", render_faults(&RouterSettings::read(bad).unwrap_err()));
+    insta::assert_snapshot!(
+        "settings_faults",
+        render_faults(&RouterSettings::read(bad).unwrap_err())
+    );
     let order = format!("{LEAST_SETTINGS}stop: {{accept_ms: 9, end_ms: 8}}\n");
-    insta::assert_snapshot!("settings_order", render_faults(&RouterSettings::read(&order).unwrap_err()));
-    insta::assert_snapshot!("settings_none", render_faults(&RouterSettings::read("{}").unwrap_err()));
+    insta::assert_snapshot!(
+        "settings_order",
+        render_faults(&RouterSettings::read(&order).unwrap_err())
+    );
+    insta::assert_snapshot!(
+        "settings_none",
+        render_faults(&RouterSettings::read("{}").unwrap_err())
+    );
 }
 
 #[tokio::test]
@@ -209,7 +224,9 @@
 fn has_line(kind: EventKind, text: &str) -> bool {
     let name = format!("\"name\":\"{}\"", kind.name());
     let lines = LINES.0.lock().unwrap();
-    lines.iter().any(|line| line.contains(&name) && line.contains(text))
+    lines
+        .iter()
+        .any(|line| line.contains(&name) && line.contains(text))
 }
 
 async fn wait_for_line(kind: EventKind, text: &str) {
--- a/crates/reedsail_wire/tests/golden.rs
+++ b/crates/reedsail_wire/tests/golden.rs
@@ -57,7 +57,10 @@
 
 /// Reads the bytes that a snapshot of this file holds.
 fn kept(name: &str) -> Vec<u8> {
-    let file = format!("{}/tests/snapshots/golden__{name}.snap", env!("CARGO_MANIFEST_DIR"));
+    let file = format!(
+        "{}/tests/snapshots/golden__{name}.snap",
+        env!("CARGO_MANIFEST_DIR")
+    );
     let text = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
     let body = text.splitn(3, "---\n").nth(2).unwrap();
     let digits: String = body.split_whitespace().collect();
@@ -105,7 +108,10 @@
 fn the_load_message_keeps_its_bytes() {
     let bytes = load_message().encode().unwrap();
     insta::assert_snapshot!("load_message", hex_lines(&bytes));
-    assert_eq!(LoadMessage::decode(&kept("load_message")).unwrap(), load_message());
+    assert_eq!(
+        LoadMessage::decode(&kept("load_message")).unwrap(),
+        load_message()
+    );
 }
 
 fn claim_batch() -> ClaimBatch {
@@ -165,7 +171,10 @@
         clock: 0x3939,
         bundle_version: 0x3a3a,
         leaving: true,
-        services: vec![(directory.services.find(NameHash::of("assistant-llm")).unwrap(), row)],
+        services: vec![(
+            directory.services.find(NameHash::of("assistant-llm")).unwrap(),
+            row,
+        )],
         suspects: vec![NameHash(0x3b3b)],
         servers_leaving: vec![NameHash(0x3c3c)],
     }
@@ -202,7 +211,10 @@
         self.asked.lock().unwrap().push(format!("{report:?}"));
         let grant = ServiceGrant {
             base: 2345.5,
-            leases: vec![LeaseRow { server, slots: 0x4141 }],
+            leases: vec![LeaseRow {
+                server,
+                slots: 0x4141,
+            }],
             virtual_times: vec![VirtualTimeRow {
                 workspace,
                 lead: 2.5,
