--- /dev/null
+++ b/crates/reedsail_router/src/header_values.rs
@@ -0,0 +1,71 @@
+//! Reads and writes of header values that every header protocol needs.
+
+use hyper::HeaderMap;
+use hyper::header::AUTHORIZATION;
+use hyper::header::HeaderValue;
+use reedsail_dispatch::Prompt;
+use reedsail_dispatch::PromptPart;
+
+use crate::HeaderFault;
+
+/// Reads a whole number, where the header is there.
+///
+/// # Errors
+/// The header holds something else.
+pub fn read_number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderFault> {
+    let Some(value) = headers.get(name) else {
+        return Ok(None);
+    };
+    let number = value.to_str().ok().and_then(|text| text.trim().parse().ok());
+    number.map(Some).ok_or(HeaderFault {
+        name,
+        allowed: "it holds a whole number",
+    })
+}
+
+/// Reads a bearer key (RFC 6750).
+pub fn read_bearer(headers: &HeaderMap) -> Option<String> {
+    let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
+    value.strip_prefix("Bearer ").map(str::to_owned)
+}
+
+/// Reads the parts of a prompt, where the header is there.
+///
+/// # Errors
+/// A part is not `ID:TOKENS`.
+pub fn read_prompt(
+    headers: &HeaderMap,
+    name: &'static str,
+    output_tokens: u32,
+) -> Result<Option<Prompt>, HeaderFault> {
+    let Some(value) = headers.get(name) else {
+        return Ok(None);
+    };
+    let text = value.to_str().unwrap_or_default();
+    let parts: Option<Vec<PromptPart>> = text
+        .split(',')
+        .filter(|part| !part.is_empty())
+        .map(read_part)
+        .collect();
+    parts
+        .map(|parts| Some(Prompt { parts, output_tokens }))
+        .ok_or(HeaderFault {
+            name,
+            allowed: "it holds parts as ID:TOKENS, the ID in hexadecimal, split by commas",
+        })
+}
+
+fn read_part(text: &str) -> Option<PromptPart> {
+    let (id, tokens) = text.trim().split_once(':')?;
+    Some(PromptPart {
+        id: u64::from_str_radix(id, 16).ok()?,
+        tokens: tokens.parse().ok()?,
+    })
+}
+
+/// Inserts a text; one that no header may hold is left out.
+pub fn insert_text(headers: &mut HeaderMap, name: &'static str, text: &str) {
+    if let Ok(value) = HeaderValue::from_str(text) {
+        headers.insert(name, value);
+    }
+}
--- a/crates/reedsail_router/src/protocol.rs
+++ b/crates/reedsail_router/src/protocol.rs
@@ -1,7 +1,6 @@
 //! The headers in which callers and backend servers are spoken to.
 //!
-//! The product has headers of its own ([`NativeProtocol`](crate::NativeProtocol)); the adapter of a
-//! platform implements the trait for the platform's.
+//! The adapter of a platform implements the trait; the tests have headers of their own.
 
 use std::net::SocketAddr;
 
--- a/crates/reedsail_router/tests/common/mod.rs
+++ b/crates/reedsail_router/tests/common/mod.rs
@@ -2,6 +2,8 @@
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
+pub(crate) mod test_headers;
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -22,7 +24,6 @@
 use reedsail_router::Configuration;
 use reedsail_router::ConfigurationSource;
 use reedsail_router::ListenAddresses;
-use reedsail_router::NativeProtocol;
 use reedsail_router::Repetition;
 use reedsail_router::Route;
 use reedsail_router::RouteTarget;
@@ -38,8 +39,10 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
+use test_headers::TestHeaders;
+
 /// The headers in which callers and stand-ins speak in these tests.
-pub(crate) const HEADERS: NativeProtocol = NativeProtocol;
+pub(crate) const HEADERS: TestHeaders = TestHeaders;
 
 /// How long a test waits for a state before it fails.
 const LIMIT: Duration = Duration::from_secs(30);
@@ -131,13 +134,13 @@
     }
 }
 
-pub(crate) fn start(store: &Store, settings: RouterSettings) -> RunningRouter<NativeProtocol> {
+pub(crate) fn start(store: &Store, settings: RouterSettings) -> RunningRouter<TestHeaders> {
     let configuration = MemoryConfiguration {
         shown: store.configuration.subscribe(),
         last: 0,
     };
     let servers = MemoryServers(store.servers.subscribe());
-    RunningRouter::start(settings, NativeProtocol, move || (configuration, servers)).unwrap()
+    RunningRouter::start(settings, TestHeaders, move || (configuration, servers)).unwrap()
 }
 
 pub(crate) fn record(id: &str, service: &str, server: &RoutedStandin) -> ServerRecord {
@@ -299,12 +302,12 @@
     Caller::connect(address).await.ask(path, headers).await
 }
 
-pub(crate) async fn is_ready(router: &RunningRouter<NativeProtocol>) -> bool {
+pub(crate) async fn is_ready(router: &RunningRouter<TestHeaders>) -> bool {
     let mut caller = Caller::connect(router.addresses().readiness).await;
     caller.ask("/ready", &[]).await.status == StatusCode::OK
 }
 
-pub(crate) async fn wait_until_ready(router: &RunningRouter<NativeProtocol>) {
+pub(crate) async fn wait_until_ready(router: &RunningRouter<TestHeaders>) {
     wait_for("readiness", async || is_ready(router).await).await;
 }
 
@@ -323,7 +326,7 @@
     pub(crate) store: Store,
     pub(crate) app: RoutedStandin,
     pub(crate) llm: RoutedStandin,
-    pub(crate) router: RunningRouter<NativeProtocol>,
+    pub(crate) router: RunningRouter<TestHeaders>,
 }
 
 impl Site {
--- a/crates/reedsail_router/src/native_protocol.rs
+++ b/crates/reedsail_router/tests/common/test_headers.rs
@@ -1,17 +1,18 @@
-//! The product's own headers.
+//! The headers in which callers and stand-ins speak in the router's tests.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
 use hyper::header::AUTHORIZATION;
 use hyper::header::HeaderValue;
-use reedsail_dispatch::Prompt;
-use reedsail_dispatch::PromptPart;
-
-use crate::AnswerHead;
-use crate::CallHead;
-use crate::ForwardHead;
-use crate::HeaderFault;
-use crate::HeaderProtocol;
+use reedsail_router::AnswerHead;
+use reedsail_router::CallHead;
+use reedsail_router::ForwardHead;
+use reedsail_router::HeaderFault;
+use reedsail_router::HeaderProtocol;
+use reedsail_router::insert_text;
+use reedsail_router::read_bearer;
+use reedsail_router::read_number;
+use reedsail_router::read_prompt;
 
 /// The id of a request, echoed by the server.
 const REQUEST_ID: &str = "reedsail-request-id";
@@ -32,11 +33,11 @@
 /// Set by a server that did not run the request.
 const RAN: &str = "reedsail-ran";
 
-/// The product's own headers, all of which begin with `reedsail-`.
+/// Headers of which all but one begin with `reedsail-`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NativeProtocol;
+pub(crate) struct TestHeaders;
 
-impl HeaderProtocol for NativeProtocol {
+impl HeaderProtocol for TestHeaders {
     fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, HeaderFault> {
         Ok(CallHead {
             request_id: headers.get(REQUEST_ID).cloned(),
@@ -91,65 +92,3 @@
         HeaderValue::from(after_ms.div_ceil(1_000))
     }
 }
-
-/// Reads a whole number, where the header is there.
-///
-/// # Errors
-/// The header holds something else.
-pub fn read_number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderFault> {
-    let Some(value) = headers.get(name) else {
-        return Ok(None);
-    };
-    let number = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-    number.map(Some).ok_or(HeaderFault {
-        name,
-        allowed: "it holds a whole number",
-    })
-}
-
-/// Reads a bearer key (RFC 6750).
-pub fn read_bearer(headers: &HeaderMap) -> Option<String> {
-    let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
-    value.strip_prefix("Bearer ").map(str::to_owned)
-}
-
-/// Reads the parts of a prompt, where the header is there.
-///
-/// # Errors
-/// A part is not `ID:TOKENS`.
-pub fn read_prompt(
-    headers: &HeaderMap,
-    name: &'static str,
-    output_tokens: u32,
-) -> Result<Option<Prompt>, HeaderFault> {
-    let Some(value) = headers.get(name) else {
-        return Ok(None);
-    };
-    let text = value.to_str().unwrap_or_default();
-    let parts: Option<Vec<PromptPart>> = text
-        .split(',')
-        .filter(|part| !part.is_empty())
-        .map(read_part)
-        .collect();
-    parts
-        .map(|parts| Some(Prompt { parts, output_tokens }))
-        .ok_or(HeaderFault {
-            name,
-            allowed: "it holds parts as ID:TOKENS, the ID in hexadecimal, split by commas",
-        })
-}
-
-fn read_part(text: &str) -> Option<PromptPart> {
-    let (id, tokens) = text.trim().split_once(':')?;
-    Some(PromptPart {
-        id: u64::from_str_radix(id, 16).ok()?,
-        tokens: tokens.parse().ok()?,
-    })
-}
-
-/// Inserts a text; one that no header may hold is left out.
-pub fn insert_text(headers: &mut HeaderMap, name: &'static str, text: &str) {
-    if let Ok(value) = HeaderValue::from_str(text) {
-        headers.insert(name, value);
-    }
-}
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -339,7 +339,7 @@
 /// Fills a router with requests that are never answered, and stops it before they are.
 async fn stop_a_full_router() {
     let site = Site::start_with(|settings| {
-        settings.instance = "hall-c-1".to_owned();
+        "hall-c-1".clone_into(&mut settings.instance);
         settings.memory_mb = 1;
         settings.stop.accept_ms = 10;
         settings.stop.end_ms = 400;
