--- a/crates/reedsail_bench/src/fleet.rs
+++ b/crates/reedsail_bench/src/fleet.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
-use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
@@ -150,20 +149,6 @@
         })
     }
 
-    /// Starts the platform alone, for daemons that run as processes of their own.
-    ///
-    /// # Errors
-    /// The platform cannot be started.
-    pub async fn start_empty(
-        setup: FleetSetup,
-        policy: PolicyChoice,
-        platform: PlatformConfig,
-    ) -> anyhow::Result<Self> {
-        let mut fleet = Self::prepare(setup, platform).await?;
-        fleet.start_daemons(policy, &|_| {}).await?;
-        Ok(fleet)
-    }
-
     async fn start_servers(&mut self) -> anyhow::Result<()> {
         for service in self.setup.services.clone() {
             let mut places = Vec::new();
@@ -236,37 +221,6 @@
         Ok(())
     }
 
-    /// Writes the settings with which a process of its own joins the fleet, on free ports.
-    pub fn settings_yaml(&self, instance: &str, domain: &str) -> String {
-        let mut text = format!(
-            "instance: {instance}\nfailure_domain: {domain}\n\
-             listen: {{callers: '127.0.0.1:0', peers: '127.0.0.1:0', admin: '127.0.0.1:0'}}\n\
-             platform: {}\nlimits: {{stop_notice_ms: 200}}\ntrusted_keys:\n",
-            self.platform.address()
-        );
-        for trusted in trusted_keys().0 {
-            let role = match trusted.role {
-                KeyRole::Author => "author",
-                KeyRole::Approver => "approver",
-            };
-            let key = hex::encode(trusted.key.0);
-            // Writing to a string does not fail.
-            let _ = writeln!(text, "  - {{name: {}, role: {role}, key: {key}}}", trusted.name);
-        }
-        if !self.daemons.is_empty() {
-            text.push_str("peers:\n");
-        }
-        for daemon in self.daemons.values() {
-            let (name, peers) = (daemon.instance(), daemon.addresses().peers);
-            let domain = &self.settings[name].failure_domain;
-            let _ = writeln!(
-                text,
-                "  - {{instance: {name}, failure_domain: {domain}, address: '{peers}'}}"
-            );
-        }
-        text
-    }
-
     /// Starts a daemon that does not run, on new ports and without any memory.
     ///
     /// # Errors
@@ -416,30 +370,6 @@
         Ok(self.version)
     }
 
-    /// Waits until a version is in force on every running daemon; returns the milliseconds.
-    ///
-    /// # Errors
-    /// Names the daemons that lag after the limit.
-    pub async fn wait_for_version(&self, version: u32, limit_ms: u64) -> anyhow::Result<u64> {
-        let started = Instant::now();
-        loop {
-            let lagging: Vec<&str> = self
-                .daemons
-                .values()
-                .filter(|daemon| daemon.bundle_version() < version)
-                .map(RunningDaemon::instance)
-                .collect();
-            let elapsed_ms = started.elapsed().as_millis() as u64;
-            if lagging.is_empty() {
-                return Ok(elapsed_ms);
-            }
-            if elapsed_ms > limit_ms {
-                anyhow::bail!("version {version} is not in force on {lagging:?} after {elapsed_ms} ms");
-            }
-            sleep(Duration::from_millis(5)).await;
-        }
-    }
-
     /// Waits until every running daemon takes requests.
     ///
     /// # Errors
--- a/crates/reedsail_bench/tests/bad_input.rs
+++ b/crates/reedsail_bench/tests/bad_input.rs
@@ -14,6 +14,7 @@
 use common::request;
 use common::run;
 use common::send;
+use common::wait_for_version;
 
 #[test]
 fn each_bad_request_gets_its_own_answer() {
@@ -128,7 +129,7 @@
             .replacen("{queued_max: 20000}", "{requests_per_s: 1}", 1)
             .replacen("{queued_max: 20000}", "{queued_max: 1, running_max: 1}", 1);
         fleet.publish_text(&text).await.unwrap();
-        fleet.wait_for_version(2, 5_000).await.unwrap();
+        wait_for_version(&fleet, 2, 5_000).await;
         let address = fleet.callers["hall-a-1"];
         let beds = |workspace: &str| {
             let empty = Full::<Bytes>::default();
@@ -197,7 +198,7 @@
             .publish_text(&text.replace("version: 2", "version: 3"))
             .await
             .unwrap();
-        fleet.wait_for_version(3, 5_000).await.unwrap();
+        wait_for_version(&fleet, 3, 5_000).await;
         fleet.close().await;
     });
 }
--- a/crates/reedsail_bench/tests/common/mod.rs
+++ b/crates/reedsail_bench/tests/common/mod.rs
@@ -2,6 +2,8 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::SocketAddr;
+use std::time::Duration;
+use std::time::Instant;
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -15,10 +17,12 @@
 use reedsail_bench::ServiceSetup;
 use reedsail_bench::WorkspacePlan;
 use reedsail_daemon::PolicyChoice;
+use reedsail_daemon::RunningDaemon;
 use reedsail_daemon::Settings;
 use reedsail_net::ByteCounter;
 use reedsail_net::HttpConnection;
 use reedsail_standin::PlatformConfig;
+use tokio::time::sleep;
 
 /// A fleet of one to three failure domains with two daemons in each but a lone one.
 pub(crate) fn small_setup(domains: usize, daemons_per_domain: usize) -> FleetSetup {
@@ -167,3 +171,24 @@
 pub(crate) fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
+
+/// Waits until a version is in force on every running daemon.
+pub(crate) async fn wait_for_version(fleet: &Fleet, version: u32, limit_ms: u64) {
+    let until = Instant::now() + Duration::from_millis(limit_ms);
+    loop {
+        let lagging: Vec<&str> = fleet
+            .daemons
+            .values()
+            .filter(|daemon| daemon.bundle_version() < version)
+            .map(RunningDaemon::instance)
+            .collect();
+        if lagging.is_empty() {
+            return;
+        }
+        assert!(
+            Instant::now() < until,
+            "version {version} is not in force on {lagging:?}"
+        );
+        sleep(Duration::from_millis(5)).await;
+    }
+}
--- a/crates/reedsail_bench/tests/failures.rs
+++ b/crates/reedsail_bench/tests/failures.rs
@@ -17,6 +17,7 @@
 use common::request;
 use common::run;
 use common::send;
+use common::wait_for_version;
 
 fn chat_plan(number: u64, tokens: u64) -> RequestPlan {
     RequestPlan::Chat {
@@ -181,7 +182,7 @@
             common::tuned_fleet(1, 2, |settings| settings.control.checkpoint_every_ms = 1_000).await;
         let text = fleet.bundle_text().replace("version: 1", "version: 2");
         fleet.publish_text(&text).await.unwrap();
-        fleet.wait_for_version(2, 5_000).await.unwrap();
+        wait_for_version(&fleet, 2, 5_000).await;
         fleet.platform.set_faults(|faults| faults.outage = true);
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.platform.age_out();
@@ -203,7 +204,7 @@
         fleet.gate.mend("hall-a-1", "hall-a-2");
         let next = text.replace("version: 2", "version: 3");
         fleet.publish_text(&next).await.unwrap();
-        fleet.wait_for_version(3, 5_000).await.unwrap();
+        wait_for_version(&fleet, 3, 5_000).await;
         fleet.close().await;
     });
 }
--- a/crates/reedsail_bench/tests/sessions.rs
+++ b/crates/reedsail_bench/tests/sessions.rs
@@ -13,6 +13,7 @@
 use common::request;
 use common::run;
 use common::send;
+use common::wait_for_version;
 
 /// Writes a session: answers as they came, then the events, without what differs from run to run.
 fn golden(fleet: &Fleet, answers: &[common::Answer]) -> String {
@@ -123,7 +124,7 @@
     run(async {
         let mut fleet = common::small_fleet(1, 1).await;
         fleet.publish_rivals().await.unwrap();
-        fleet.wait_for_version(2, 5_000).await.unwrap();
+        wait_for_version(&fleet, 2, 5_000).await;
         wait_for_event(&fleet, "bundle_stale").await;
         insta::assert_snapshot!(golden(&fleet, &[]));
         fleet.close().await;
--- a/crates/reedsail_bundle/src/bundle.rs
+++ b/crates/reedsail_bundle/src/bundle.rs
@@ -150,10 +150,4 @@
             (Repeat::Never, KeyRule::Optional)
         }
     }
-
-    /// Returns how many slots its backend servers have in a failure domain.
-    pub fn slots_in(&self, domain: &str) -> u32 {
-        let in_domain = self.servers.values().filter(|server| server.domain == domain);
-        in_domain.map(|server| server.slots).sum()
-    }
 }
--- a/crates/reedsail_core/src/allocator/mod.rs
+++ b/crates/reedsail_core/src/allocator/mod.rs
@@ -157,11 +157,6 @@
         self.targets_at = None;
     }
 
-    /// Returns the slots committed on a server, over all members.
-    pub fn committed_slots(&self, server: ServerKey) -> u32 {
-        self.members.values().map(|member| member.committed(server)).sum()
-    }
-
     /// Returns a workspace's virtual time above the floor, in cost units per weight.
     pub fn lead_of(&self, workspace: WorkspaceKey) -> f64 {
         self.virtual_time(workspace) - self.floor
--- a/crates/reedsail_core/src/claim_fold.rs
+++ b/crates/reedsail_core/src/claim_fold.rs
@@ -97,11 +97,6 @@
         }
     }
 
-    /// Forgets keys that are too old to be accepted any more.
-    pub fn forget_before(&mut self, unix_ms: u64) {
-        self.states.retain(|key, _| key.made_at_unix_ms() >= unix_ms);
-    }
-
     fn fold_record(&mut self, record: ClaimRecord) {
         match record {
             ClaimRecord::Claim { key, nonce } => {
--- a/crates/reedsail_daemon/tests/process.rs
+++ b/crates/reedsail_daemon/tests/process.rs
@@ -1,5 +1,6 @@
 //! The real `reedsaild` process: its settings, its signals, its exit codes.
 
+use std::fmt::Write;
 use std::io::BufRead;
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -16,6 +17,7 @@
 use reedsail_bench::RequestPlan;
 use reedsail_bench::ServiceSetup;
 use reedsail_bench::WorkspacePlan;
+use reedsail_bundle::SecretKey;
 use reedsail_daemon::PolicyChoice;
 use reedsail_standin::PlatformConfig;
 use tokio::task::JoinSet;
@@ -44,10 +46,35 @@
     }
 }
 
+/// Writes the settings with which a process of its own joins the fleet, on free ports.
+fn settings_yaml(fleet: &Fleet) -> String {
+    let mut text = format!(
+        "instance: hall-a-2\nfailure_domain: hall-a\n\
+         listen: {{callers: '127.0.0.1:0', peers: '127.0.0.1:0', admin: '127.0.0.1:0'}}\n\
+         platform: {}\nlimits: {{stop_notice_ms: 200}}\ntrusted_keys:\n",
+        fleet.platform.address()
+    );
+    // The keys with which a fleet of the bench signs.
+    for (name, role, byte) in [("bench-author", "author", 1), ("bench-approver", "approver", 2)] {
+        let key = hex::encode(SecretKey::from_bytes([byte; 32]).public().0);
+        writeln!(text, "  - {{name: {name}, role: {role}, key: {key}}}").unwrap();
+    }
+    text.push_str("peers:\n");
+    for daemon in fleet.daemons.values() {
+        let (name, peers) = (daemon.instance(), daemon.addresses().peers);
+        writeln!(
+            text,
+            "  - {{instance: {name}, failure_domain: hall-a, address: '{peers}'}}"
+        )
+        .unwrap();
+    }
+    text
+}
+
 /// Starts a process beside the fleet's own daemon, and returns where it takes callers.
 fn start_process(fleet: &Fleet, folder: &std::path::Path) -> (Child, SocketAddr) {
     let file = folder.join("hall-a-2.yaml");
-    std::fs::write(&file, fleet.settings_yaml("hall-a-2", "hall-a")).unwrap();
+    std::fs::write(&file, settings_yaml(fleet)).unwrap();
     let mut child = Command::new(env!("CARGO_BIN_EXE_reedsaild"))
         .arg("--config")
         .arg(&file)
--- a/crates/reedsail_dispatch/src/server_list.rs
+++ b/crates/reedsail_dispatch/src/server_list.rs
@@ -164,21 +164,6 @@
         self.is_troubled = true;
     }
 
-    /// Takes a peer's word that servers are leaving, unless this daemon's own list is fresh.
-    pub fn hear_leaving(&mut self, servers: &[NameHash], own_view_max_ms: u64, now: TimeMs) -> bool {
-        if self.age_ms(now) <= own_view_max_ms {
-            return false;
-        }
-        let mut is_news = false;
-        for server in servers {
-            is_news |= self
-                .peer_words
-                .insert(*server, now.plus_ms(PEER_WORD_MS))
-                .is_none();
-        }
-        is_news
-    }
-
     /// Removes servers that stayed in doubt too long, and words that no longer count.
     pub fn tick(&mut self, now: TimeMs) -> ListDelta {
         let mut delta = ListDelta::default();
--- a/crates/reedsail_standin/src/engine.rs
+++ b/crates/reedsail_standin/src/engine.rs
@@ -169,14 +169,6 @@
         lock(&self.state.runs).clone()
     }
 
-    /// Tells how often a request with this id arrived.
-    pub fn times_seen(&self, request_id: &str) -> u64 {
-        lock(&self.state.requests_seen)
-            .get(request_id)
-            .copied()
-            .unwrap_or(0)
-    }
-
     /// Returns the ids of all requests that arrived.
     pub fn requests_seen(&self) -> Vec<String> {
         lock(&self.state.requests_seen).keys().cloned().collect()
@@ -192,11 +184,6 @@
         self.state.slots.load()
     }
 
-    /// Returns how often a prefix was found in the cache, and how often not.
-    pub fn cache_counts(&self) -> (u64, u64) {
-        lock(&self.state.cache).0.counts()
-    }
-
     /// Stops the engine.
     pub fn close(self) {
         self.server.close();
--- a/crates/reedsail_standin/src/platform.rs
+++ b/crates/reedsail_standin/src/platform.rs
@@ -78,8 +78,6 @@
     config: PlatformConfig,
     faults: PlatformFaults,
     log: LogStreams,
-    appends: u64,
-    answers_lost: u64,
     append_tokens: f64,
     tokens_at: Instant,
     list_version: u64,
@@ -111,8 +109,6 @@
             config,
             faults: PlatformFaults::default(),
             log: LogStreams::default(),
-            appends: 0,
-            answers_lost: 0,
             append_tokens: config.appends_per_s,
             tokens_at: Instant::now(),
             list_version: 0,
@@ -147,12 +143,6 @@
         self.handler.changed.notify_waiters();
     }
 
-    /// Returns how many appends took effect, and how many of them lost their answer.
-    pub fn append_counts(&self) -> (u64, u64) {
-        self.handler
-            .with_state(|state| (state.appends, state.answers_lost))
-    }
-
     /// Drops every record kept now, as if it had aged out.
     pub fn age_out(&self) {
         self.handler.with_state(|state| state.log.drop_before(u64::MAX));
@@ -240,9 +230,7 @@
             return None;
         }
         self.append_tokens -= 1.0;
-        self.appends += 1;
         let lost = self.random.random::<f64>() < self.faults.lost_answer_ratio;
-        self.answers_lost += u64::from(lost);
         Some((self.log.append(stream, data, unix_ms()), lost))
     }
 
--- a/crates/reedsail_standin/src/prefix_cache.rs
+++ b/crates/reedsail_standin/src/prefix_cache.rs
@@ -7,8 +7,6 @@
 pub(crate) struct PrefixCache {
     held_max: usize,
     held: VecDeque<u64>,
-    hits: u64,
-    misses: u64,
 }
 
 impl PrefixCache {
@@ -16,8 +14,6 @@
         Self {
             held_max,
             held: VecDeque::new(),
-            hits: 0,
-            misses: 0,
         }
     }
 
@@ -26,9 +22,6 @@
         let place = self.held.iter().position(|held| *held == prefix);
         if let Some(place) = place {
             self.held.remove(place);
-            self.hits += 1;
-        } else {
-            self.misses += 1;
         }
         self.held.push_back(prefix);
         let dropped = (self.held.len() > self.held_max)
@@ -36,8 +29,4 @@
             .flatten();
         (place.is_some(), dropped)
     }
-
-    pub(crate) fn counts(&self) -> (u64, u64) {
-        (self.hits, self.misses)
-    }
 }
