--- a/crates/reedsail_bench/tests/decisions.rs
+++ b/crates/reedsail_core/tests/decisions.rs
@@ -1,8 +1,10 @@
 //! The decisions of nine daemons and three allocators, driven without sockets through failures.
 
-use reedsail_bench::Drive;
-use reedsail_bench::GapWatch;
-use reedsail_bench::uneven_setup;
+mod drive;
+
+use drive::Drive;
+use drive::GapWatch;
+use drive::uneven_setup;
 
 const ALL: std::ops::Range<usize> = 0..16;
 /// What the gap may be in steady backlog: two seconds and the largest request's fair-part time.
--- a/crates/reedsail_bench/tests/shares.rs
+++ b/crates/reedsail_dispatch/tests/flood.rs
@@ -1,6 +1,8 @@
 //! The smallest workspace under a long flood, with daemons that hear each other and without.
 
-use reedsail_bench::measure_shares;
+mod flood_simulation;
+
+use flood_simulation::measure_shares;
 
 #[test]
 fn daemons_that_hear_each_other_keep_the_smallest_workspaces_part() {
