--- a/crates/reedsail_dispatch/src/run.rs
+++ b/crates/reedsail_dispatch/src/attempt.rs
@@ -5,17 +5,17 @@
 
 /// A request that was sent to a server; handed back when it ends.
 #[derive(Debug)]
-pub struct Run {
+pub struct Attempt {
     pub(crate) number: u64,
     pub(crate) server: ServerKey,
-    pub(crate) unread_tokens: u32,
+    pub(crate) prefill_tokens: u32,
     pub(crate) expected_ms: u64,
     pub(crate) began_at: TimeMs,
     pub(crate) has_answered: bool,
     pub(crate) has_prompt: bool,
 }
 
-impl Run {
+impl Attempt {
     /// Returns the backend server.
     pub fn server(&self) -> ServerKey {
         self.server
@@ -24,7 +24,7 @@
 
 /// What became of a run, as far as it speaks of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunOutcome {
+pub enum AttemptOutcome {
     /// The server answered whole and well.
     Answered,
     /// The server answered with a failure, broke off, or answered wrongly.
--- a/crates/reedsail_dispatch/src/demand.rs
+++ b/crates/reedsail_dispatch/src/demand.rs
@@ -6,7 +6,7 @@
 
 /// One part of a prompt; requests that begin with the same parts can share what a server has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// The part's identity.
     pub id: u64,
     /// Its length.
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Its parts in order; the last belongs to this request alone.
-    pub parts: Vec<PromptPart>,
+    pub parts: Vec<PromptSegment>,
     /// The most tokens that the answer may have.
     pub output_tokens: u32,
 }
@@ -34,7 +34,7 @@
     }
 
     /// Returns the last part that other requests share, by which the prompt finds its server.
-    pub fn last_shared(&self) -> Option<PromptPart> {
+    pub fn last_shared(&self) -> Option<PromptSegment> {
         match self.parts.as_slice() {
             [] => None,
             [only] => Some(*only),
@@ -43,7 +43,7 @@
     }
 
     /// Returns the parts that other requests share; all but the last, or the only one.
-    pub fn shared_parts(&self) -> &[PromptPart] {
+    pub fn shared_segments(&self) -> &[PromptSegment] {
         match self.parts.as_slice() {
             [] | [_] => &self.parts,
             [shared @ .., _] => shared,
@@ -66,7 +66,7 @@
     /// Its prompt, for a service of model engines.
     pub prompt: Option<&'a Prompt>,
     /// Within which time its answer is to begin, counted from its arrival.
-    pub goal_ms: u64,
+    pub latency_target_ms: u64,
     /// How long ago it arrived.
     pub waited_ms: u64,
     /// Servers that were tried already.
@@ -79,9 +79,9 @@
     /// The backend server.
     pub server: ServerKey,
     /// A server from which the chosen one can copy what it has read of the prompt.
-    pub copy_from: Option<ServerKey>,
+    pub cache_source: Option<ServerKey>,
     /// Prompt tokens that the server is expected to read itself.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
     /// After which time the answer is expected to begin.
     pub expected_ms: u64,
     /// The part of that time for which the server is busy with other requests.
--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -7,20 +7,20 @@
 use reedsail_core::ServerKey;
 use reedsail_core::TimeMs;
 
+use crate::Attempt;
+use crate::AttemptOutcome;
 use crate::Decision;
 use crate::Demand;
 use crate::DispatchSettings;
+use crate::GossipTiming;
 use crate::LoadReport;
 use crate::Placement;
 use crate::Prompt;
-use crate::PromptPart;
-use crate::RepeatWindow;
-use crate::RoundTimes;
-use crate::Run;
-use crate::RunOutcome;
+use crate::PromptSegment;
+use crate::RetryWindow;
 use crate::ServerSetup;
 use crate::estimate;
-use crate::estimate::ReadRate;
+use crate::estimate::PrefillRate;
 use crate::peer_table::PeerTable;
 use crate::prefix_memory::PrefixMemory;
 use crate::ranking::rendezvous_weight;
@@ -36,10 +36,10 @@
 /// What copying a prompt's shared parts takes, in milliseconds.
 const COPY_MS: f64 = 40.0;
 /// The part of the goal within which an answer is expected to begin, or the request is refused.
-const GOAL_PART: f64 = 0.8;
+const TARGET_FRACTION: f64 = 0.8;
 /// The part of the goal for which a server may be busy with other requests, if the workspace has had
 /// its share while others want more.
-const GOAL_PART_OVER_SHARE: f64 = 0.1;
+const OVER_SHARE_TARGET_FRACTION: f64 = 0.1;
 /// Of the engines' joint rate, an engine that only reads does so much more.
 const READ_ONLY_GAIN: f64 = 1.4;
 /// A failure rate of one delays a server by so many goals.
@@ -47,7 +47,7 @@
 /// The shortest time after which a refused request is told to come back.
 const RETRY_AFTER_MIN_MS: u64 = 100;
 /// The longest, as a part of the goal.
-const RETRY_AFTER_GOAL_PART: f64 = 0.6;
+const RETRY_AFTER_TARGET_FRACTION: f64 = 0.6;
 /// An answer that has not begun after so many times the expected time speaks against the server.
 const OVERDUE_FACTOR: u64 = 3;
 /// The least time after which an answer is overdue.
@@ -70,7 +70,7 @@
     peers: PeerTable,
     usage: UsageTable,
     prefixes: PrefixMemory,
-    repeats: HashMap<NameHash, RepeatWindow>,
+    repeats: HashMap<NameHash, RetryWindow>,
     /// Runs whose answer has not begun, with the moment from which they are overdue.
     unanswered: HashMap<u64, (ServerKey, TimeMs)>,
     runs_started: u64,
@@ -113,17 +113,17 @@
     }
 
     /// Counts a request as it arrives; each is counted once.
-    pub fn count_arrival(&mut self, demand: &Demand<'_>, now: TimeMs) {
+    pub fn record_arrival(&mut self, demand: &Demand<'_>, now: TimeMs) {
         self.usage.ask(demand.workspace, cost_of(demand), now);
-        self.repeat_window(demand.service).count_request(now);
+        self.retry_window(demand.service).count_request(now);
     }
 
     /// Asks for leave to send a request of the service once more.
-    pub fn take_repeat(&mut self, service: NameHash, now: TimeMs) -> bool {
+    pub fn take_retry(&mut self, service: NameHash, now: TimeMs) -> bool {
         let daemons = (self.peers.count() + 1).max(DAEMONS_MIN);
-        let slack = self.settings.repeat_slack / daemons as f64;
-        let ratio = self.settings.repeat_ratio;
-        self.repeat_window(service).take(ratio, slack, now)
+        let slack = self.settings.retry_slack / daemons as f64;
+        let ratio = self.settings.retry_ratio;
+        self.retry_window(service).take(ratio, slack, now)
     }
 
     /// Decides where a request goes, or that it is refused.
@@ -131,13 +131,14 @@
         let Some(placement) = self.choose(demand, now) else {
             return Decision::Refuse {
                 kind: ErrorKind::NoBackend,
-                retry_after_ms: retry_after_ms(demand.goal_ms, f64::INFINITY),
+                retry_after_ms: retry_after_ms(demand.latency_target_ms, f64::INFINITY),
                 expected_ms: None,
             };
         };
-        let goal_ms = demand.goal_ms as f64;
-        let excess_ms = (demand.waited_ms + placement.expected_ms) as f64 - goal_ms * GOAL_PART;
-        let queue_excess_ms = placement.queue_ms as f64 - goal_ms * GOAL_PART_OVER_SHARE;
+        let latency_target_ms = demand.latency_target_ms as f64;
+        let excess_ms =
+            (demand.waited_ms + placement.expected_ms) as f64 - latency_target_ms * TARGET_FRACTION;
+        let queue_excess_ms = placement.queue_ms as f64 - latency_target_ms * OVER_SHARE_TARGET_FRACTION;
         let is_behind_others = queue_excess_ms > 0.0 && self.usage.is_over_share(demand.workspace, now);
         if excess_ms <= 0.0 && !is_behind_others {
             return Decision::Send(placement);
@@ -148,30 +149,30 @@
             } else {
                 ErrorKind::WouldMissGoal
             },
-            retry_after_ms: retry_after_ms(demand.goal_ms, excess_ms.max(queue_excess_ms)),
+            retry_after_ms: retry_after_ms(demand.latency_target_ms, excess_ms.max(queue_excess_ms)),
             expected_ms: Some(placement.expected_ms),
         }
     }
 
     /// Records that a request is being sent where it was decided.
-    pub fn begin(&mut self, demand: &Demand<'_>, placement: &Placement, now: TimeMs) -> Run {
+    pub fn begin(&mut self, demand: &Demand<'_>, placement: &Placement, now: TimeMs) -> Attempt {
         self.runs_started += 1;
         let number = self.runs_started;
         self.usage.begin(demand.workspace, cost_of(demand), now);
         let load = &mut self.servers.get_mut(placement.server).own;
         load.running += 1;
-        load.unread_tokens += u64::from(placement.unread_tokens);
+        load.prefill_tokens += u64::from(placement.prefill_tokens);
         let name = self.servers.get(placement.server).setup.name;
-        for part in demand.prompt.map_or(&[][..], Prompt::shared_parts) {
+        for part in demand.prompt.map_or(&[][..], Prompt::shared_segments) {
             self.prefixes.record(part.id, placement.server, name, now);
         }
         let overdue_ms = (OVERDUE_FACTOR * placement.expected_ms).max(OVERDUE_MIN_MS);
         self.unanswered
             .insert(number, (placement.server, now.plus_ms(overdue_ms)));
-        Run {
+        Attempt {
             number,
             server: placement.server,
-            unread_tokens: placement.unread_tokens,
+            prefill_tokens: placement.prefill_tokens,
             expected_ms: placement.expected_ms.max(1),
             began_at: now,
             has_answered: false,
@@ -180,7 +181,7 @@
     }
 
     /// Records that the first part of an answer has come.
-    pub fn note_answer(&mut self, run: &mut Run, now: TimeMs) {
+    pub fn note_answer(&mut self, run: &mut Attempt, now: TimeMs) {
         if run.has_answered {
             return;
         }
@@ -188,8 +189,8 @@
         self.unanswered.remove(&run.number);
         let took_ms = now.since_ms(run.began_at) as f64;
         let server = self.servers.get_mut(run.server);
-        let unread = u64::from(run.unread_tokens);
-        server.own.unread_tokens = server.own.unread_tokens.saturating_sub(unread);
+        let unread = u64::from(run.prefill_tokens);
+        server.own.prefill_tokens = server.own.prefill_tokens.saturating_sub(unread);
         if run.has_prompt {
             let ratio = (took_ms / run.expected_ms as f64 * server.slowness).clamp(0.7, 4.0);
             server.slowness += NEWEST_PART * (ratio - server.slowness);
@@ -201,25 +202,25 @@
     }
 
     /// Ends a run, and judges the server by it.
-    pub fn finish(&mut self, mut run: Run, outcome: RunOutcome, now: TimeMs) {
+    pub fn finish(&mut self, mut run: Attempt, outcome: AttemptOutcome, now: TimeMs) {
         if !run.has_answered {
             self.unanswered.remove(&run.number);
-            let unread = u64::from(run.unread_tokens);
+            let unread = u64::from(run.prefill_tokens);
             let load = &mut self.servers.get_mut(run.server).own;
-            load.unread_tokens = load.unread_tokens.saturating_sub(unread);
+            load.prefill_tokens = load.prefill_tokens.saturating_sub(unread);
             run.has_answered = true;
         }
         let server = self.servers.get_mut(run.server);
         server.own.running = server.own.running.saturating_sub(1);
         match outcome {
-            RunOutcome::Answered => server.failures.record(0.0, now),
-            RunOutcome::Failed => server.failures.record(1.0, now),
-            RunOutcome::Rejected => server.failures.record(REJECTION_WEIGHT, now),
-            RunOutcome::Unreachable => {
+            AttemptOutcome::Answered => server.failures.record(0.0, now),
+            AttemptOutcome::Failed => server.failures.record(1.0, now),
+            AttemptOutcome::Rejected => server.failures.record(REJECTION_WEIGHT, now),
+            AttemptOutcome::Unreachable => {
                 server.failures.record(UNREACHABLE_WEIGHT, now);
                 server.mark_unreachable(now);
             }
-            RunOutcome::Abandoned => {}
+            AttemptOutcome::Abandoned => {}
         }
     }
 
@@ -237,9 +238,9 @@
     }
 
     /// Takes in a peer's report.
-    pub fn hear_peer(&mut self, peer: NameHash, report: LoadReport, now: TimeMs) {
-        let silent_ms = RoundTimes::of(self.peers.count()).silent_ms;
-        let valid_until = now.plus_ms(self.settings.report_valid_ms.max(silent_ms));
+    pub fn receive_report(&mut self, peer: NameHash, report: LoadReport, now: TimeMs) {
+        let peer_silent_ms = GossipTiming::of(self.peers.count()).peer_silent_ms;
+        let valid_until = now.plus_ms(self.settings.report_valid_ms.max(peer_silent_ms));
         for row in &report.parts {
             if let Some(server) = self.servers.key(row.server) {
                 self.prefixes.hear(row.part, server, now);
@@ -250,7 +251,7 @@
     }
 
     /// Drops what a peer reported, once it has said that it leaves.
-    pub fn forget_peer(&mut self, peer: NameHash) {
+    pub fn drop_peer(&mut self, peer: NameHash) {
         self.peers.forget(peer, &mut self.servers, &mut self.usage);
     }
 
@@ -269,11 +270,11 @@
         (state.own.running, state.running())
     }
 
-    fn repeat_window(&mut self, service: NameHash) -> &mut RepeatWindow {
-        let window_ms = self.settings.repeat_window_ms;
+    fn retry_window(&mut self, service: NameHash) -> &mut RetryWindow {
+        let window_ms = self.settings.retry_window_ms;
         self.repeats
             .entry(service)
-            .or_insert_with(|| RepeatWindow::new(window_ms))
+            .or_insert_with(|| RetryWindow::new(window_ms))
     }
 
     fn choose(&mut self, demand: &Demand<'_>, now: TimeMs) -> Option<Placement> {
@@ -309,15 +310,15 @@
         let score = |key: &ServerKey| {
             let server = self.servers.get(*key);
             let is_far = server.setup.failure_domain != self.own_domain;
-            let crowding = f64::from(server.running()) / f64::from(server.setup.slots.max(1));
-            let wait_ms = estimate::plain_ms(server) * (1.0 + crowding);
-            wait_ms + f64::from(u8::from(is_far)) + self.failure_ms(*key, demand.goal_ms, now)
+            let overload = f64::from(server.running()) / f64::from(server.setup.slots.max(1));
+            let wait_ms = estimate::plain_ms(server) * (1.0 + overload);
+            wait_ms + f64::from(u8::from(is_far)) + self.failure_ms(*key, demand.latency_target_ms, now)
         };
         let server = min_by_score(usable, score)?;
         Some(Placement {
             server,
-            copy_from: None,
-            unread_tokens: 0,
+            cache_source: None,
+            prefill_tokens: 0,
             expected_ms: estimate::plain_ms(self.servers.get(server)) as u64,
             queue_ms: estimate::plain_queue_ms(self.servers.get(server)) as u64,
         })
@@ -326,7 +327,7 @@
     fn choose_engine(&mut self, demand: &Demand<'_>, usable: &[ServerKey], now: TimeMs) -> Option<Placement> {
         let prompt = demand.prompt?;
         let part = prompt.last_shared()?;
-        let rate = self.read_rate(demand.service);
+        let rate = self.prefill_rate(demand.service);
         let mut ranked: Vec<ServerKey> = usable.to_vec();
         self.rank(&mut ranked, part.id);
         ranked.truncate(PART_SERVERS_MAX);
@@ -339,7 +340,7 @@
                     (false, true) => SPREAD_KEPT_MS,
                     (false, false) => SPREAD_MS,
                 };
-                let failure_ms = self.failure_ms(*key, demand.goal_ms, now);
+                let failure_ms = self.failure_ms(*key, demand.latency_target_ms, now);
                 (placement, placement.expected_ms as f64 + spread_ms + failure_ms)
             })
             .collect();
@@ -353,21 +354,21 @@
     fn place_prompt(
         &self,
         prompt: &Prompt,
-        last_shared: PromptPart,
+        last_shared: PromptSegment,
         key: ServerKey,
-        rate: ReadRate,
+        rate: PrefillRate,
         now: TimeMs,
     ) -> Placement {
         let server = self.servers.get(key);
-        let copy_from = self.copy_source(last_shared.id, key, now);
-        let (unread_tokens, copy_ms) = match copy_from {
+        let cache_source = self.cache_source(last_shared.id, key, now);
+        let (prefill_tokens, copy_ms) = match cache_source {
             Some(_) => (prompt.own_tokens(), COPY_MS),
-            None => (self.unread_tokens(prompt, key, now), 0.0),
+            None => (self.prefill_tokens(prompt, key, now), 0.0),
         };
         Placement {
             server: key,
-            copy_from,
-            unread_tokens,
+            cache_source,
+            prefill_tokens,
             expected_ms: (estimate::engine_ms(server, prompt.own_tokens(), rate) + copy_ms) as u64,
             queue_ms: estimate::engine_queue_ms(server, rate) as u64,
         }
@@ -375,9 +376,9 @@
 
     /// Returns how much of a prompt a server has to read: its own part, and the shared ones from the
     /// first that the server is not known to keep.
-    fn unread_tokens(&self, prompt: &Prompt, server: ServerKey, now: TimeMs) -> u32 {
+    fn prefill_tokens(&self, prompt: &Prompt, server: ServerKey, now: TimeMs) -> u32 {
         let kept: u32 = prompt
-            .shared_parts()
+            .shared_segments()
             .iter()
             .take_while(|part| self.prefixes.has(part.id, server, now))
             .map(|part| part.tokens)
@@ -386,7 +387,7 @@
     }
 
     /// Returns a server that is likely to keep what the chosen one is likely to lack.
-    fn copy_source(&self, part: u64, chosen: ServerKey, now: TimeMs) -> Option<ServerKey> {
+    fn cache_source(&self, part: u64, chosen: ServerKey, now: TimeMs) -> Option<ServerKey> {
         if self.prefixes.has(part, chosen, now) {
             return None;
         }
@@ -402,20 +403,20 @@
         });
     }
 
-    fn failure_ms(&self, server: ServerKey, goal_ms: u64, now: TimeMs) -> f64 {
+    fn failure_ms(&self, server: ServerKey, latency_target_ms: u64, now: TimeMs) -> f64 {
         let rate = self.servers.get(server).failure_rate(now);
-        FAILURE_GOALS * goal_ms as f64 * rate * rate
+        FAILURE_GOALS * latency_target_ms as f64 * rate * rate
     }
 
-    fn read_rate(&mut self, service: NameHash) -> ReadRate {
+    fn prefill_rate(&mut self, service: NameHash) -> PrefillRate {
         let engines = self.servers.of_service(service).len();
         self.engines_most = self.engines_most.max(engines);
         match self.engine_tokens_per_s {
             Some(per_s) if per_s > 0.0 => {
                 let told = READ_ONLY_GAIN * per_s / 1_000.0 / self.engines_most as f64;
-                ReadRate(told.max(ReadRate::LEAST.0))
+                PrefillRate(told.max(PrefillRate::LEAST.0))
             }
-            _ => ReadRate::DEFAULT,
+            _ => PrefillRate::DEFAULT,
         }
     }
 }
@@ -432,7 +433,7 @@
         .map(|(_, key)| key)
 }
 
-fn retry_after_ms(goal_ms: u64, excess_ms: f64) -> u64 {
-    let most_ms = (goal_ms as f64 * RETRY_AFTER_GOAL_PART) as u64;
+fn retry_after_ms(latency_target_ms: u64, excess_ms: f64) -> u64 {
+    let most_ms = (latency_target_ms as f64 * RETRY_AFTER_TARGET_FRACTION) as u64;
     (excess_ms as u64).clamp(RETRY_AFTER_MIN_MS, most_ms.max(RETRY_AFTER_MIN_MS))
 }
--- a/crates/reedsail_dispatch/src/estimate.rs
+++ b/crates/reedsail_dispatch/src/estimate.rs
@@ -11,9 +11,9 @@
 
 /// How fast the engines of a service read, in tokens a millisecond and engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct ReadRate(pub(crate) f64);
+pub(crate) struct PrefillRate(pub(crate) f64);
 
-impl ReadRate {
+impl PrefillRate {
     /// Used where nothing is known.
     pub(crate) const DEFAULT: Self = Self(40.0);
     /// Where the operators' figure leaves an engine less, engines have been added since it was
@@ -22,14 +22,14 @@
 }
 
 /// Returns the expected time in milliseconds until an engine's first event.
-pub(crate) fn engine_ms(server: &ServerState, unread_tokens: u32, rate: ReadRate) -> f64 {
-    let own_ms = ENGINE_BASE_MS + f64::from(unread_tokens) / rate.0;
+pub(crate) fn engine_ms(server: &ServerState, prefill_tokens: u32, rate: PrefillRate) -> f64 {
+    let own_ms = ENGINE_BASE_MS + f64::from(prefill_tokens) / rate.0;
     engine_queue_ms(server, rate) + own_ms * server.slowness
 }
 
 /// Returns for how long an engine is busy before it can begin another request, in milliseconds.
-pub(crate) fn engine_queue_ms(server: &ServerState, rate: ReadRate) -> f64 {
-    let reading_ms = server.unread_tokens() as f64 / rate.0;
+pub(crate) fn engine_queue_ms(server: &ServerState, rate: PrefillRate) -> f64 {
+    let reading_ms = server.prefill_tokens() as f64 / rate.0;
     let excess = (server.running() + 1).saturating_sub(server.setup.slots.max(1));
     reading_ms * server.slowness + f64::from(excess) * SLOT_WAIT_MS
 }
--- a/crates/reedsail_dispatch/src/round_times.rs
+++ b/crates/reedsail_dispatch/src/gossip_timing.rs
@@ -16,33 +16,33 @@
 
 /// The times that follow from how many peers a daemon hears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RoundTimes {
+pub struct GossipTiming {
     /// From one round to the next.
-    pub pause_ms: u64,
+    pub interval_ms: u64,
     /// A peer that was not heard for so long is taken for gone, and its report for void.
-    pub silent_ms: u64,
+    pub peer_silent_ms: u64,
     /// A peer that was not heard for so long is not counted on to read the store.
     pub reader_silent_ms: u64,
     /// What a reader has read may reach the others so much later than in a small fleet.
-    pub news_late_ms: u64,
+    pub update_delay_ms: u64,
 }
 
-impl Default for RoundTimes {
+impl Default for GossipTiming {
     /// Those of a daemon that hears nobody.
     fn default() -> Self {
         Self::of(0)
     }
 }
 
-impl RoundTimes {
+impl GossipTiming {
     /// Works them out for a daemon that hears so many peers.
     pub fn of(peers: usize) -> Self {
-        let pause_ms = (peers as u64 * PAUSE_PER_PEER_MS).max(PAUSE_MIN_MS);
+        let interval_ms = (peers as u64 * PAUSE_PER_PEER_MS).max(PAUSE_MIN_MS);
         Self {
-            pause_ms,
-            silent_ms: SILENT_MIN_MS.max(ROUNDS_SILENT * pause_ms),
-            reader_silent_ms: READER_SILENT_MIN_MS.max(ROUNDS_SILENT * pause_ms),
-            news_late_ms: ROUNDS_NEWS * (pause_ms - PAUSE_MIN_MS),
+            interval_ms,
+            peer_silent_ms: SILENT_MIN_MS.max(ROUNDS_SILENT * interval_ms),
+            reader_silent_ms: READER_SILENT_MIN_MS.max(ROUNDS_SILENT * interval_ms),
+            update_delay_ms: ROUNDS_NEWS * (interval_ms - PAUSE_MIN_MS),
         }
     }
 }
--- a/crates/reedsail_dispatch/src/load_report.rs
+++ b/crates/reedsail_dispatch/src/load_report.rs
@@ -12,7 +12,7 @@
     /// Failures among the latest requests, 255 for all.
     pub failure_rate: u8,
     /// Prompt tokens that wait to be read there.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
 }
 
 /// What one workspace asked of one daemon, and got, within the window of shares.
@@ -21,14 +21,14 @@
     /// The workspace.
     pub workspace: NameHash,
     /// Cost of its requests.
-    pub asked_cost: f32,
+    pub requested_cost: f32,
     /// Cost of those that were sent to a server.
-    pub begun_cost: f32,
+    pub sent_cost: f32,
 }
 
 /// A prompt part that was sent to a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PartRow {
+pub struct PrefixRow {
     /// The hash of the part's identity.
     pub part: u32,
     /// The server.
@@ -43,5 +43,5 @@
     /// Use by workspace; a workspace that is not named has none.
     pub workspaces: Vec<WorkspaceUseRow>,
     /// Prompt parts that were lately sent to a server for the first time, or again after a while.
-    pub parts: Vec<PartRow>,
+    pub parts: Vec<PrefixRow>,
 }
--- a/crates/reedsail_dispatch/src/crowding.rs
+++ b/crates/reedsail_dispatch/src/overload.rs
@@ -21,7 +21,7 @@
 
 /// What a daemon measures of itself every little while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CrowdingMeasure {
+pub struct OverloadSample {
     /// How late the thread got to what was due.
     pub late_ms: u64,
     /// Requests that are open.
@@ -32,15 +32,15 @@
 
 /// Whether callers crowd a daemon; shared by threads.
 #[derive(Debug, Default)]
-pub struct Crowding {
+pub struct OverloadMonitor {
     lag_ms: AtomicU64,
     is_nearly_full: AtomicBool,
     crowded_until: AtomicU64,
 }
 
-impl Crowding {
+impl OverloadMonitor {
     /// Takes in a measure; `true` if it begins a crowded time.
-    pub fn note(&self, measure: CrowdingMeasure, now: TimeMs) -> bool {
+    pub fn note(&self, measure: OverloadSample, now: TimeMs) -> bool {
         let lag_ms = (self.lag_ms() * (AVERAGE_PARTS - 1) + measure.late_ms) / AVERAGE_PARTS;
         self.lag_ms.store(lag_ms, Ordering::Relaxed);
         let is_nearly_full = measure.open_requests * 100 >= measure.open_requests_max * CROWDED_PERCENT;
--- a/crates/reedsail_dispatch/src/prefix_memory.rs
+++ b/crates/reedsail_dispatch/src/prefix_memory.rs
@@ -7,7 +7,7 @@
 use reedsail_core::TimeMs;
 use twox_hash::XxHash64;
 
-use crate::PartRow;
+use crate::PrefixRow;
 
 /// The most parts that are remembered.
 const PARTS_MAX: usize = 8_192;
@@ -37,7 +37,7 @@
 pub(crate) struct PrefixMemory {
     parts: HashMap<u32, Vec<Use>>,
     /// Rows for the next reports, with the number of reports that they are still to stand in.
-    untold: Vec<(PartRow, u8)>,
+    untold: Vec<(PrefixRow, u8)>,
 }
 
 impl PrefixMemory {
@@ -49,7 +49,7 @@
         let told_at = if is_news { now } else { told_at };
         self.insert(part, server, told_at, now);
         if is_news {
-            let row = PartRow { part, server: name };
+            let row = PrefixRow { part, server: name };
             self.untold.push((row, REPORTS_PER_ROW));
         }
     }
@@ -75,7 +75,7 @@
     }
 
     /// Returns the rows for this round's report.
-    pub(crate) fn report(&mut self) -> Vec<PartRow> {
+    pub(crate) fn report(&mut self) -> Vec<PrefixRow> {
         let count = self.untold.len().min(ROWS_MAX);
         let rows = self.untold[..count].iter().map(|(row, _)| *row).collect();
         for (_, reports_left) in &mut self.untold[..count] {
--- a/crates/reedsail_dispatch/src/repeat_window.rs
+++ b/crates/reedsail_dispatch/src/retry_window.rs
@@ -17,12 +17,12 @@
 /// Each daemon holds to the ratio by its own requests, so the fleet does without a message. The
 /// window here is a bucket longer than the one that is judged, so that no judged window holds more.
 #[derive(Clone, Debug)]
-pub struct RepeatWindow {
+pub struct RetryWindow {
     buckets: [Bucket; BUCKETS + 1],
     bucket_ms: u64,
 }
 
-impl RepeatWindow {
+impl RetryWindow {
     /// Makes an empty window of `window_ms` milliseconds.
     pub fn new(window_ms: u64) -> Self {
         Self {
--- a/crates/reedsail_dispatch/src/server_list.rs
+++ b/crates/reedsail_dispatch/src/server_list.rs
@@ -8,8 +8,8 @@
 
 use crate::ServerChange;
 use crate::ServerListing;
-use crate::ServerNews;
 use crate::ServerRecord;
+use crate::ServerUpdate;
 
 /// How long a server whose record went while the store was out of reach may still be used. A server
 /// that is alive has announced itself again by then.
@@ -28,7 +28,7 @@
 struct Entry {
     record: ServerRecord,
     /// Set while its record is missing for a reason that may lie with the store.
-    doubted_until: Option<TimeMs>,
+    suspect_until: Option<TimeMs>,
 }
 
 /// What has changed in the list.
@@ -53,7 +53,7 @@
 
 /// What a peer says of its own list.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerWord<'a> {
+pub struct PeerListState<'a> {
     /// The place in the store's log up to which it is known.
     pub revision: u64,
     /// The digest of the list.
@@ -66,7 +66,7 @@
 
 /// What a peer's word of its list means for this daemon's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerView {
+pub enum ListComparison {
     /// It knows nothing newer.
     NothingNew,
     /// It knows something newer, which is to be fetched.
@@ -82,24 +82,24 @@
     /// Servers that have left or are leaving, and until when others are told.
     departures: HashMap<NameHash, TimeMs>,
     /// Servers that peers say are leaving, and until when that counts.
-    peer_words: HashMap<NameHash, TimeMs>,
+    advertised_departures: HashMap<NameHash, TimeMs>,
     digest: u64,
     /// When this list, at its revision, was known to be the newest.
     known_at: Option<TimeMs>,
     revision: u64,
     /// The store did not answer the last read.
-    is_troubled: bool,
+    is_store_out: bool,
     /// Until when dropped records may be the doing of trouble that is over.
-    doubtful_until: TimeMs,
+    outage_grace_until: TimeMs,
 }
 
 impl ServerList {
     /// Takes in what a look at the store, begun at `asked_at`, has shown.
-    pub fn apply(&mut self, news: ServerNews, asked_at: TimeMs, now: TimeMs) -> ListDelta {
+    pub fn apply(&mut self, news: ServerUpdate, asked_at: TimeMs, now: TimeMs) -> ListDelta {
         self.known_at = self.known_at.max(Some(asked_at));
         self.revision = self.revision.max(news.revision);
-        if std::mem::take(&mut self.is_troubled) {
-            self.doubtful_until = now.plus_ms(AFTER_TROUBLE_MS);
+        if std::mem::take(&mut self.is_store_out) {
+            self.outage_grace_until = now.plus_ms(AFTER_TROUBLE_MS);
         }
         let mut delta = ListDelta::default();
         if news.is_whole {
@@ -122,7 +122,7 @@
             return delta;
         }
         // Whoever gave the list has judged what the trouble did to it.
-        self.is_troubled = false;
+        self.is_store_out = false;
         self.revision = listing.revision;
         self.known_at = self.known_at.max(Some(moment_before(now, listing.age_ms)));
         let known: Vec<String> = listing.records.iter().map(|record| record.id.clone()).collect();
@@ -138,41 +138,41 @@
     /// Takes in what a peer says of its own list. The same list, or one of the same revision, is as
     /// fresh as the peer's; of one that is newer, the servers that are leaving are believed before it
     /// is fetched.
-    pub fn hear_peer(&mut self, word: &PeerWord<'_>, now: TimeMs) -> PeerView {
+    pub fn receive_report(&mut self, word: &PeerListState<'_>, now: TimeMs) -> ListComparison {
         if word.revision <= self.revision || word.digest == self.digest() {
             self.revision = self.revision.max(word.revision);
             self.known_at = self.known_at.max(Some(moment_before(now, word.age_ms)));
             if word.age_ms < FRESH_MS {
-                self.is_troubled = false;
+                self.is_store_out = false;
             }
-            return PeerView::NothingNew;
+            return ListComparison::NothingNew;
         }
         let mut is_news = false;
         for server in word.leaving {
             let until = now.plus_ms(PEER_WORD_MS);
-            is_news |= self.peer_words.insert(*server, until).is_none();
+            is_news |= self.advertised_departures.insert(*server, until).is_none();
         }
         if is_news {
-            PeerView::Leaving
+            ListComparison::Leaving
         } else {
-            PeerView::Newer
+            ListComparison::Newer
         }
     }
 
     /// Notes that the store did not answer a read.
-    pub fn note_trouble(&mut self) {
-        self.is_troubled = true;
+    pub fn record_store_failure(&mut self) {
+        self.is_store_out = true;
     }
 
     /// Removes servers that stayed in doubt too long, and words that no longer count.
     pub fn tick(&mut self, now: TimeMs) -> ListDelta {
         let mut delta = ListDelta::default();
         self.departures.retain(|_, until| *until > now);
-        self.peer_words.retain(|_, until| *until > now);
+        self.advertised_departures.retain(|_, until| *until > now);
         let lapsed: Vec<String> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.doubted_until.is_some_and(|until| until <= now))
+            .filter(|(_, entry)| entry.suspect_until.is_some_and(|until| until <= now))
             .map(|(id, _)| id.clone())
             .collect();
         for id in lapsed {
@@ -185,8 +185,8 @@
     pub fn listing(&self, now: TimeMs) -> ServerListing {
         let marked = |entry: &Entry| {
             let mut record = entry.record.clone();
-            let word = self.peer_words.get(&NameHash::of(&record.id));
-            record.is_leaving |= word.is_some_and(|until| *until > now);
+            let word = self.advertised_departures.get(&NameHash::of(&record.id));
+            record.is_draining |= word.is_some_and(|until| *until > now);
             record
         };
         ServerListing {
@@ -222,20 +222,20 @@
         let was_leaving = self
             .entries
             .get(&record.id)
-            .is_some_and(|entry| entry.record.is_leaving);
-        if record.is_leaving && !was_leaving {
+            .is_some_and(|entry| entry.record.is_draining);
+        if record.is_draining && !was_leaving {
             self.tell_departure(&record.id, now);
             delta.leaving.push(record.id.clone());
         }
-        if !record.is_leaving {
+        if !record.is_draining {
             let hash = NameHash::of(&record.id);
-            self.peer_words.remove(&hash);
+            self.advertised_departures.remove(&hash);
             self.departures.remove(&hash);
         }
         let id = record.id.clone();
         let entry = Entry {
             record,
-            doubted_until: None,
+            suspect_until: None,
         };
         self.digest = self.digest.wrapping_add(entry_digest(&entry));
         let before = self.entries.insert(id.clone(), entry);
@@ -250,13 +250,13 @@
     /// A record that went while the store was out of reach may have gone for want of an announcement
     /// that the store did not take, and says nothing of the server.
     fn drop_record(&mut self, id: &str, now: TimeMs, delta: &mut ListDelta) {
-        if now >= self.doubtful_until {
+        if now >= self.outage_grace_until {
             self.remove(id, now, delta);
             return;
         }
         if let Some(entry) = self.entries.get_mut(id) {
             self.digest = self.digest.wrapping_sub(entry_digest(entry));
-            entry.doubted_until.get_or_insert(now.plus_ms(DOUBT_MS));
+            entry.suspect_until.get_or_insert(now.plus_ms(DOUBT_MS));
             self.digest = self.digest.wrapping_add(entry_digest(entry));
         }
     }
@@ -312,8 +312,8 @@
         record.address,
         record.failure_domain,
         record.slots,
-        record.is_leaving,
-        entry.doubted_until.is_some()
+        record.is_draining,
+        entry.suspect_until.is_some()
     );
     XxHash64::oneshot(0, text.as_bytes())
 }
--- a/crates/reedsail_dispatch/src/server_record.rs
+++ b/crates/reedsail_dispatch/src/server_record.rs
@@ -19,7 +19,8 @@
     /// How many requests it runs at once.
     pub slots: u32,
     /// It has said that it will leave.
-    pub is_leaving: bool,
+    #[serde(rename = "is_leaving")]
+    pub is_draining: bool,
 }
 
 /// A change in the list of backend servers.
@@ -43,7 +44,7 @@
 
 /// What a look at the store has shown.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServerNews {
+pub struct ServerUpdate {
     /// The place in the store's log up to which the records are known now.
     pub revision: u64,
     /// `changes` has every record that there is: a server without one is gone. Else it has those
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -27,14 +27,14 @@
     /// How many requests it runs at once.
     pub slots: u32,
     /// It is leaving and gets no new work.
-    pub is_leaving: bool,
+    pub is_draining: bool,
 }
 
 /// Requests and prompt tokens on a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub(crate) running: u32,
-    pub(crate) unread_tokens: u64,
+    pub(crate) prefill_tokens: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -73,12 +73,12 @@
         self.own.running + self.peers.running
     }
 
-    pub(crate) fn unread_tokens(&self) -> u64 {
-        self.own.unread_tokens + self.peers.unread_tokens
+    pub(crate) fn prefill_tokens(&self) -> u64 {
+        self.own.prefill_tokens + self.peers.prefill_tokens
     }
 
     pub(crate) fn takes_work(&self) -> bool {
-        self.is_listed && !self.setup.is_leaving
+        self.is_listed && !self.setup.is_draining
     }
 
     pub(crate) fn is_reachable(&self, now: TimeMs) -> bool {
@@ -175,13 +175,13 @@
         for row in rows {
             let Some(key) = self.key(row.server) else { continue };
             let load = &mut self.get_mut(key).peers;
-            let (running, unread) = (u32::from(row.running), u64::from(row.unread_tokens));
+            let (running, unread) = (u32::from(row.running), u64::from(row.prefill_tokens));
             if add {
                 load.running += running;
-                load.unread_tokens += unread;
+                load.prefill_tokens += unread;
             } else {
                 load.running = load.running.saturating_sub(running);
-                load.unread_tokens = load.unread_tokens.saturating_sub(unread);
+                load.prefill_tokens = load.prefill_tokens.saturating_sub(unread);
             }
         }
     }
@@ -196,7 +196,7 @@
                 server: server.setup.name,
                 running: server.own.running.min(u32::from(u16::MAX)) as u16,
                 failure_rate,
-                unread_tokens: server.own.unread_tokens.min(u64::from(u32::MAX)) as u32,
+                prefill_tokens: server.own.prefill_tokens.min(u64::from(u32::MAX)) as u32,
             })
         })
         .collect()
--- a/crates/reedsail_dispatch/src/settings.rs
+++ b/crates/reedsail_dispatch/src/settings.rs
@@ -4,11 +4,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchSettings {
     /// How many repeats the whole fleet may send for each request of a service.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Over which time repeats are counted.
-    pub repeat_window_ms: u64,
+    pub retry_window_ms: u64,
     /// How many repeats a service's window may hold beyond the ratio, over the whole fleet.
-    pub repeat_slack: f64,
+    pub retry_slack: f64,
     /// Over which time a workspace's use is compared with its fair part.
     pub share_window_ms: u64,
     /// How long a peer's report counts.
@@ -18,9 +18,9 @@
 impl Default for DispatchSettings {
     fn default() -> Self {
         Self {
-            repeat_ratio: 0.1,
-            repeat_window_ms: 10_000,
-            repeat_slack: 20.0,
+            retry_ratio: 0.1,
+            retry_window_ms: 10_000,
+            retry_slack: 20.0,
             share_window_ms: 4_000,
             report_valid_ms: 1_500,
         }
--- a/crates/reedsail_dispatch/src/usage.rs
+++ b/crates/reedsail_dispatch/src/usage.rs
@@ -87,8 +87,8 @@
     pub(crate) fn add_peer(&mut self, rows: &[WorkspaceUseRow], sign: f64) {
         for row in rows {
             let entry = self.workspaces.entry(row.workspace).or_default();
-            entry.peers_asked = (entry.peers_asked + sign * f64::from(row.asked_cost)).max(0.0);
-            entry.peers_begun = (entry.peers_begun + sign * f64::from(row.begun_cost)).max(0.0);
+            entry.peers_asked = (entry.peers_asked + sign * f64::from(row.requested_cost)).max(0.0);
+            entry.peers_begun = (entry.peers_begun + sign * f64::from(row.sent_cost)).max(0.0);
         }
     }
 
@@ -108,12 +108,12 @@
         let number = now.0 / self.bucket_ms;
         let mut rows = Vec::new();
         for (workspace, entry) in &self.workspaces {
-            let (asked_cost, begun_cost) = entry.own(number);
-            if asked_cost > 0.0 {
+            let (requested_cost, sent_cost) = entry.own(number);
+            if requested_cost > 0.0 {
                 rows.push(WorkspaceUseRow {
                     workspace: *workspace,
-                    asked_cost,
-                    begun_cost,
+                    requested_cost,
+                    sent_cost,
                 });
             }
         }
--- a/crates/reedsail_dispatch/tests/decision_trace.rs
+++ b/crates/reedsail_dispatch/tests/decision_trace.rs
@@ -12,22 +12,22 @@
 use rand::rngs::StdRng;
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
+use reedsail_dispatch::Attempt;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Decision;
 use reedsail_dispatch::Demand;
 use reedsail_dispatch::DispatchSettings;
 use reedsail_dispatch::Dispatcher;
+use reedsail_dispatch::GossipTiming;
 use reedsail_dispatch::LoadReport;
-use reedsail_dispatch::PeerWord;
+use reedsail_dispatch::PeerListState;
 use reedsail_dispatch::Prompt;
-use reedsail_dispatch::PromptPart;
-use reedsail_dispatch::RoundTimes;
-use reedsail_dispatch::Run;
-use reedsail_dispatch::RunOutcome;
+use reedsail_dispatch::PromptSegment;
 use reedsail_dispatch::ServerChange;
 use reedsail_dispatch::ServerList;
-use reedsail_dispatch::ServerNews;
 use reedsail_dispatch::ServerRecord;
 use reedsail_dispatch::ServerSetup;
+use reedsail_dispatch::ServerUpdate;
 use twox_hash::XxHash64;
 
 const STEPS: u64 = 12_000;
@@ -60,10 +60,10 @@
 
 /// A request that runs, and when it answers and ends.
 struct Open {
-    run: Run,
+    run: Attempt,
     answers_at: TimeMs,
     ends_at: TimeMs,
-    outcome: RunOutcome,
+    outcome: AttemptOutcome,
     has_answered: bool,
 }
 
@@ -91,14 +91,14 @@
         service: NameHash::of(if is_engine { "llm" } else { "app" }),
         failure_domain: NameHash::of(&format!("hall-{}", index % 3)),
         slots: if is_engine { 16 } else { 4 },
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
 fn instance(index: usize) -> Instance {
     let settings = DispatchSettings {
-        repeat_ratio: 0.2,
-        repeat_slack: 8.0,
+        retry_ratio: 0.2,
+        retry_slack: 8.0,
         ..DispatchSettings::default()
     };
     Instance {
@@ -146,12 +146,12 @@
     fn prompt(&mut self) -> Prompt {
         let family = self.random.random_range(0..7);
         let lengths = [800, 3_200, 6_000];
-        let shared = (0..self.random.random_range(0..3_usize)).map(|place| PromptPart {
+        let shared = (0..self.random.random_range(0..3_usize)).map(|place| PromptSegment {
             id: family * 10 + place as u64,
             tokens: lengths[place],
         });
-        let mut parts: Vec<PromptPart> = shared.collect();
-        parts.push(PromptPart {
+        let mut parts: Vec<PromptSegment> = shared.collect();
+        parts.push(PromptSegment {
             id: self.random.random(),
             tokens: self.random.random_range(20..4_000),
         });
@@ -170,13 +170,13 @@
             service: NameHash::of(if prompt.is_some() { "llm" } else { "app" }),
             workspace: NameHash(workspace),
             prompt: prompt.as_ref(),
-            goal_ms: [150, 600, 800, 5_000][self.random.random_range(0..4)],
+            latency_target_ms: [150, 600, 800, 5_000][self.random.random_range(0..4)],
             waited_ms: self.random.random_range(0..40),
             tried: &[],
         };
         let now = self.now;
         let instance = &mut self.instances[index];
-        instance.dispatcher.count_arrival(&base, now);
+        instance.dispatcher.record_arrival(&base, now);
         let mut tried = Vec::new();
         for _ in 0..3 {
             let demand = Demand {
@@ -192,7 +192,7 @@
             let outcome = self.random.random_range(0..100);
             if outcome < 8 {
                 // It never got through, so it is placed again.
-                instance.dispatcher.finish(run, RunOutcome::Unreachable, now);
+                instance.dispatcher.finish(run, AttemptOutcome::Unreachable, now);
                 tried.push(placement.server);
                 continue;
             }
@@ -203,10 +203,10 @@
                 answers_at,
                 ends_at: answers_at.plus_ms(self.random.random_range(0..900)),
                 outcome: match outcome {
-                    8..80 => RunOutcome::Answered,
-                    80..88 => RunOutcome::Failed,
-                    88..94 => RunOutcome::Rejected,
-                    _ => RunOutcome::Abandoned,
+                    8..80 => AttemptOutcome::Answered,
+                    80..88 => AttemptOutcome::Failed,
+                    88..94 => AttemptOutcome::Rejected,
+                    _ => AttemptOutcome::Abandoned,
                 },
                 has_answered: false,
             });
@@ -219,7 +219,7 @@
         for instance in &mut self.instances {
             let mut left = Vec::new();
             for mut open in instance.open.drain(..) {
-                if !open.has_answered && open.answers_at <= now && open.outcome == RunOutcome::Answered {
+                if !open.has_answered && open.answers_at <= now && open.outcome == AttemptOutcome::Answered {
                     instance.dispatcher.note_answer(&mut open.run, now);
                     open.has_answered = true;
                 }
@@ -248,7 +248,7 @@
         }
         for (index, instance) in self.instances.iter_mut().enumerate() {
             if index != from {
-                instance.dispatcher.hear_peer(name, report.clone(), self.now);
+                instance.dispatcher.receive_report(name, report.clone(), self.now);
             }
         }
     }
@@ -271,14 +271,14 @@
     fn ask_for_retry(&mut self) {
         let index = self.random.random_range(0..INSTANCES);
         let service = NameHash::of(["llm", "app"][self.random.random_range(0..2)]);
-        let granted = self.instances[index].dispatcher.take_repeat(service, self.now);
+        let granted = self.instances[index].dispatcher.take_retry(service, self.now);
         self.trace
             .note(&format!("{} {index} retry {granted}", self.now.0));
     }
 
     fn change_a_server(&mut self) {
         let index = self.random.random_range(0..8);
-        self.setups[index].is_leaving = !self.setups[index].is_leaving;
+        self.setups[index].is_draining = !self.setups[index].is_draining;
         if self.random.random_range(0..4) == 0 {
             let kept = self.setups.clone();
             self.setups.remove(index);
@@ -292,7 +292,7 @@
     fn forget_a_peer(&mut self) {
         let peer = self.instances[self.random.random_range(0..INSTANCES)].name;
         let index = self.random.random_range(0..INSTANCES);
-        self.instances[index].dispatcher.forget_peer(peer);
+        self.instances[index].dispatcher.drop_peer(peer);
     }
 
     fn set_rate(&mut self) {
@@ -308,8 +308,8 @@
         Decision::Send(placement) => format!(
             "to {} copy {:?} prefill {} expected {} queue {}",
             placement.server.0,
-            placement.copy_from.map(|key| key.0),
-            placement.unread_tokens,
+            placement.cache_source.map(|key| key.0),
+            placement.prefill_tokens,
             placement.expected_ms,
             placement.queue_ms
         ),
@@ -319,7 +319,7 @@
             expected_ms,
         } => format!("{} after {retry_after_ms} expected {expected_ms:?}", kind.name()),
     };
-    let (workspace, target_ms) = (demand.workspace.0, demand.goal_ms);
+    let (workspace, target_ms) = (demand.workspace.0, demand.latency_target_ms);
     format!(
         "{} {instance} workspace {workspace} target {target_ms}: {what}",
         now.0
@@ -329,14 +329,14 @@
 fn shown_report(report: &LoadReport) -> String {
     let mut text = String::new();
     for row in &report.servers {
-        let (running, tokens, rate) = (row.running, row.unread_tokens, row.failure_rate);
+        let (running, tokens, rate) = (row.running, row.prefill_tokens, row.failure_rate);
         write!(text, "s{:x}:{running},{tokens},{rate} ", row.server.0).unwrap();
     }
     for row in &report.workspaces {
         write!(
             text,
             "w{}:{},{} ",
-            row.workspace.0, row.asked_cost, row.begun_cost
+            row.workspace.0, row.requested_cost, row.sent_cost
         )
         .unwrap();
     }
@@ -355,14 +355,14 @@
     insta::assert_snapshot!("dispatcher", deployment.trace.finish());
 }
 
-fn record(index: u64, is_leaving: bool) -> ServerRecord {
+fn record(index: u64, is_draining: bool) -> ServerRecord {
     ServerRecord {
         id: format!("i-{index}"),
         service: "llm".to_owned(),
         address: ([127, 0, 0, 1], 1_000 + index as u16).into(),
         failure_domain: "hall-a".to_owned(),
         slots: 16,
-        is_leaving,
+        is_draining,
     }
 }
 
@@ -391,7 +391,7 @@
     records.sort_by(|left, right| left.id.cmp(&right.id));
     let records: Vec<String> = records
         .iter()
-        .map(|record| format!("{}{}", record.id, if record.is_leaving { "-" } else { "" }))
+        .map(|record| format!("{}{}", record.id, if record.is_draining { "-" } else { "" }))
         .collect();
     format!(
         "revision {} age {} digest {:x} departures {departures:?} {}",
@@ -416,7 +416,7 @@
             0..8 => {
                 let changes = changes(&mut random);
                 revision += changes.len() as u64;
-                let news = ServerNews {
+                let news = ServerUpdate {
                     revision,
                     is_whole: random.random_range(0..5) == 0,
                     changes,
@@ -424,7 +424,7 @@
                 lists[index].apply(news, TimeMs(now.0 - 20), now)
             }
             8..10 => {
-                lists[index].note_trouble();
+                lists[index].record_store_failure();
                 continue;
             }
             10..12 => {
@@ -434,13 +434,13 @@
             12..16 => {
                 let other = &lists[1 - index];
                 let departures = other.departures();
-                let word = PeerWord {
+                let word = PeerListState {
                     revision: other.revision(),
                     digest: other.digest(),
                     age_ms: other.age_ms(now),
                     leaving: &departures,
                 };
-                let view = lists[index].hear_peer(&word, now);
+                let view = lists[index].receive_report(&word, now);
                 trace.note(&format!("{} {index} peer {}", now.0, view as u8));
                 continue;
             }
@@ -460,11 +460,11 @@
     let rows: Vec<String> = [0, 1, 8, 25, 26, 59, 99, 320, 1_000]
         .iter()
         .map(|peers| {
-            let times = RoundTimes::of(*peers);
-            let (interval, silent) = (times.pause_ms, times.silent_ms);
+            let times = GossipTiming::of(*peers);
+            let (interval, silent) = (times.interval_ms, times.peer_silent_ms);
             format!(
                 "{peers} {interval} {silent} {} {}",
-                times.reader_silent_ms, times.news_late_ms
+                times.reader_silent_ms, times.update_delay_ms
             )
         })
         .collect();
--- a/crates/reedsail_dispatch/tests/flood_simulation/mod.rs
+++ b/crates/reedsail_dispatch/tests/flood_simulation/mod.rs
@@ -7,15 +7,15 @@
 use reedsail_core::NameHash;
 use reedsail_core::ServerKey;
 use reedsail_core::TimeMs;
+use reedsail_dispatch::Attempt;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Decision;
 use reedsail_dispatch::Demand;
 use reedsail_dispatch::DispatchSettings;
 use reedsail_dispatch::Dispatcher;
 use reedsail_dispatch::Placement;
 use reedsail_dispatch::Prompt;
-use reedsail_dispatch::PromptPart;
-use reedsail_dispatch::Run;
-use reedsail_dispatch::RunOutcome;
+use reedsail_dispatch::PromptSegment;
 use reedsail_dispatch::ServerSetup;
 
 /// Sizes of the first sites.
@@ -87,7 +87,7 @@
 /// A run on its way through an engine.
 struct Open {
     daemon: usize,
-    run: Option<Run>,
+    run: Option<Attempt>,
     first_at: TimeMs,
     has_begun: bool,
 }
@@ -176,11 +176,11 @@
         self.prompts += 1;
         let prompt = Prompt {
             parts: vec![
-                PromptPart {
+                PromptSegment {
                     id: self.prompts,
                     tokens: 100,
                 },
-                PromptPart {
+                PromptSegment {
                     id: self.prompts << 32,
                     tokens: PROMPT_TOKENS - 100,
                 },
@@ -192,12 +192,12 @@
             service: NameHash::of("engines"),
             workspace: NameHash::of(&name),
             prompt: Some(&prompt),
-            goal_ms: GOAL_MS,
+            latency_target_ms: GOAL_MS,
             waited_ms: 0,
             tried: &[],
         };
         let dispatcher = &mut self.daemons[daemon];
-        dispatcher.count_arrival(&demand, now);
+        dispatcher.record_arrival(&demand, now);
         let mut in_goal = false;
         if let Decision::Send(placement) = dispatcher.decide(&demand, now) {
             let run = dispatcher.begin(&demand, &placement, now);
@@ -241,7 +241,7 @@
             }
             let is_over = open.first_at.plus_ms(STREAM_MS) <= now;
             if let Some(run) = open.run.take_if(|_| is_over) {
-                dispatcher.finish(run, RunOutcome::Answered, now);
+                dispatcher.finish(run, AttemptOutcome::Answered, now);
             }
         }
         self.open.retain(|open| open.run.is_some());
@@ -253,7 +253,7 @@
             let peer = NameHash::of(&format!("daemon-{sender}"));
             for (hearer, daemon) in self.daemons.iter_mut().enumerate() {
                 if hearer != sender {
-                    daemon.hear_peer(peer, report.clone(), now);
+                    daemon.receive_report(peer, report.clone(), now);
                 }
             }
         }
@@ -280,6 +280,6 @@
         service: NameHash::of("engines"),
         failure_domain: NameHash::of(&format!("domain-{}", number % 3)),
         slots: SLOTS,
-        is_leaving: false,
+        is_draining: false,
     }
 }
--- a/crates/reedsail_dispatch/tests/placement.rs
+++ b/crates/reedsail_dispatch/tests/placement.rs
@@ -3,6 +3,7 @@
 use reedsail_core::ErrorKind;
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Decision;
 use reedsail_dispatch::Demand;
 use reedsail_dispatch::DispatchSettings;
@@ -10,8 +11,7 @@
 use reedsail_dispatch::LoadReport;
 use reedsail_dispatch::Placement;
 use reedsail_dispatch::Prompt;
-use reedsail_dispatch::PromptPart;
-use reedsail_dispatch::RunOutcome;
+use reedsail_dispatch::PromptSegment;
 use reedsail_dispatch::ServerLoadRow;
 use reedsail_dispatch::ServerSetup;
 
@@ -24,7 +24,7 @@
         service: NameHash::of("llm"),
         failure_domain: NameHash::of(&format!("hall-{}", number % 3)),
         slots: 64,
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
@@ -41,11 +41,11 @@
 fn prompt(shared: u64, own_tokens: u32) -> Prompt {
     Prompt {
         parts: vec![
-            PromptPart {
+            PromptSegment {
                 id: shared,
                 tokens: 13_000,
             },
-            PromptPart {
+            PromptSegment {
                 id: shared ^ 0xffff_ffff,
                 tokens: own_tokens,
             },
@@ -59,7 +59,7 @@
         service: NameHash::of("llm"),
         workspace: NameHash::of(workspace),
         prompt: Some(prompt),
-        goal_ms: GOAL_MS,
+        latency_target_ms: GOAL_MS,
         waited_ms: 0,
         tried: &[],
     }
@@ -78,7 +78,7 @@
     let placement = placed(dispatcher.decide(&demand, now));
     let mut run = dispatcher.begin(&demand, &placement, now);
     dispatcher.note_answer(&mut run, now.plus_ms(placement.expected_ms));
-    dispatcher.finish(run, RunOutcome::Answered, now.plus_ms(900));
+    dispatcher.finish(run, AttemptOutcome::Answered, now.plus_ms(900));
     placement
 }
 
@@ -88,10 +88,10 @@
     let mut other = dispatcher(&engines(9));
     let prompt = prompt(7, 1_000);
     let cold = serve(&mut one, &prompt, START);
-    assert_eq!((cold.unread_tokens, cold.copy_from), (14_000, None));
-    other.hear_peer(NameHash::of("one"), one.report(START), START);
+    assert_eq!((cold.prefill_tokens, cold.cache_source), (14_000, None));
+    other.receive_report(NameHash::of("one"), one.report(START), START);
     let warm = placed(other.decide(&demand("labska", &prompt), START));
-    assert_eq!((warm.server, warm.unread_tokens), (cold.server, 1_000));
+    assert_eq!((warm.server, warm.prefill_tokens), (cold.server, 1_000));
     // A row stands in two reports, in case one is lost, and again only after a while of use.
     assert_eq!(one.report(START).parts.len(), 1);
     assert!(one.report(START).parts.is_empty());
@@ -101,7 +101,7 @@
     assert_eq!(one.report(START.plus_ms(6_000)).parts.len(), 1);
     // Nobody keeps a part for ever.
     let late = placed(other.decide(&demand("labska", &prompt), START.plus_ms(60_000)));
-    assert_eq!(late.unread_tokens, 14_000);
+    assert_eq!(late.prefill_tokens, 14_000);
 }
 
 #[test]
@@ -130,7 +130,7 @@
         let demand = demand("labska", &prompt);
         let placement = placed(dispatcher.decide(&demand, START));
         if placement.server != first.server {
-            assert_eq!(placement.copy_from, Some(first.server));
+            assert_eq!(placement.cache_source, Some(first.server));
             return;
         }
         runs.push(dispatcher.begin(&demand, &placement, START));
@@ -147,10 +147,10 @@
         let now = START.plus_ms(step * 1_000);
         let demand = demand("labska", &prompt);
         let placement = placed(dispatcher.decide(&demand, now));
-        assert_eq!((placement.server, placement.copy_from), (first, None));
+        assert_eq!((placement.server, placement.cache_source), (first, None));
         let mut run = dispatcher.begin(&demand, &placement, now);
         dispatcher.note_answer(&mut run, now.plus_ms(placement.expected_ms));
-        dispatcher.finish(run, RunOutcome::Answered, now.plus_ms(900));
+        dispatcher.finish(run, AttemptOutcome::Answered, now.plus_ms(900));
     }
 }
 
@@ -187,15 +187,15 @@
         server: engine(0).name,
         running: 30,
         failure_rate: 0,
-        unread_tokens: 200_000,
+        prefill_tokens: 200_000,
     };
     let report = LoadReport {
         servers: vec![row],
         ..LoadReport::default()
     };
-    dispatcher.hear_peer(NameHash::of("daemon-2"), report.clone(), START);
+    dispatcher.receive_report(NameHash::of("daemon-2"), report.clone(), START);
     // A report replaces the one before it.
-    dispatcher.hear_peer(NameHash::of("daemon-2"), report, START);
+    dispatcher.receive_report(NameHash::of("daemon-2"), report, START);
     let key = dispatcher.server_key(engine(0).name).unwrap();
     assert_eq!(dispatcher.running(key), (0, 30));
     let refused = dispatcher.decide(&demand("labska", &prompt), START);
@@ -213,17 +213,17 @@
         server: engine(1).name,
         running: 5,
         failure_rate: 0,
-        unread_tokens: 9,
+        prefill_tokens: 9,
     };
     let report = LoadReport {
         servers: vec![row],
         ..LoadReport::default()
     };
-    dispatcher.hear_peer(NameHash::of("daemon-2"), report, START);
+    dispatcher.receive_report(NameHash::of("daemon-2"), report, START);
     dispatcher.set_servers(&engines(2));
     let key = dispatcher.server_key(engine(1).name).unwrap();
     assert_eq!(dispatcher.running(key), (0, 5));
-    dispatcher.forget_peer(NameHash::of("daemon-2"));
+    dispatcher.drop_peer(NameHash::of("daemon-2"));
     assert_eq!(dispatcher.running(key), (0, 0));
 }
 
@@ -237,16 +237,16 @@
         .iter()
         .position(|server| dispatcher.server_key(server.name) == Some(first))
         .unwrap();
-    servers[position].is_leaving = true;
+    servers[position].is_draining = true;
     dispatcher.set_servers(&servers);
     let second = placed(dispatcher.decide(&demand("labska", &prompt), START));
     assert_ne!(second.server, first);
     // A server that is leaving still gives what it keeps.
-    assert_eq!(second.copy_from, Some(first));
+    assert_eq!(second.cache_source, Some(first));
     servers.remove(position);
     dispatcher.set_servers(&servers);
     let third = placed(dispatcher.decide(&demand("labska", &prompt), START));
-    assert_eq!((third.server, third.copy_from), (second.server, None));
+    assert_eq!((third.server, third.cache_source), (second.server, None));
     dispatcher.set_servers(&[]);
     let none = dispatcher.decide(&demand("labska", &prompt), START);
     assert!(matches!(
@@ -265,7 +265,7 @@
     let demand = demand("labska", &prompt);
     let first = placed(dispatcher.decide(&demand, START));
     let run = dispatcher.begin(&demand, &first, START);
-    dispatcher.finish(run, RunOutcome::Unreachable, START);
+    dispatcher.finish(run, AttemptOutcome::Unreachable, START);
     let other = placed(dispatcher.decide(&demand, START));
     assert_ne!(other.server, first.server);
     let later = START.plus_ms(30_000);
@@ -274,7 +274,7 @@
 
 #[test]
 fn servers_that_fail_or_never_answer_lose_their_requests_to_others() {
-    for outcome in [Some(RunOutcome::Failed), None] {
+    for outcome in [Some(AttemptOutcome::Failed), None] {
         let prompt = prompt(7, 1_000);
         let mut dispatcher = dispatcher(&engines(3));
         let demand = demand("labska", &prompt);
@@ -291,7 +291,7 @@
             dispatcher.tick(now);
         }
         for run in silent {
-            dispatcher.finish(run, RunOutcome::Abandoned, now);
+            dispatcher.finish(run, AttemptOutcome::Abandoned, now);
         }
         assert_ne!(placed(dispatcher.decide(&demand, now)).server, first.server);
     }
@@ -311,7 +311,7 @@
         .map(|prompt| placed(dispatcher.decide(&demand("labska", &prompt), later)))
         .filter(|placement| placement.server == newcomer);
     let copies: Vec<bool> = taken_over
-        .map(|placement| placement.copy_from.is_some())
+        .map(|placement| placement.cache_source.is_some())
         .collect();
     assert!(
         copies.len() > 5 && copies.iter().all(|copies| *copies),
@@ -326,7 +326,7 @@
         service: NameHash::of("llm"),
         workspace: NameHash::of("labska"),
         prompt: None,
-        goal_ms: 150,
+        latency_target_ms: 150,
         waited_ms: 0,
         tried: &[],
     };
@@ -364,7 +364,7 @@
         let mut run = dispatcher.begin(&demand, &placement, now);
         now = now.plus_ms(placement.expected_ms.max(1) * 3);
         dispatcher.note_answer(&mut run, now);
-        dispatcher.finish(run, RunOutcome::Answered, now);
+        dispatcher.finish(run, AttemptOutcome::Answered, now);
         now = now.plus_ms(1_000);
         if matches!(
             dispatcher.decide(&self::demand("labska", &prompt(7, 9_000)), now),
--- a/crates/reedsail_dispatch/tests/server_list.rs
+++ b/crates/reedsail_dispatch/tests/server_list.rs
@@ -4,21 +4,21 @@
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
-use reedsail_dispatch::PeerView;
-use reedsail_dispatch::PeerWord;
+use reedsail_dispatch::ListComparison;
+use reedsail_dispatch::PeerListState;
 use reedsail_dispatch::ServerChange;
 use reedsail_dispatch::ServerList;
-use reedsail_dispatch::ServerNews;
 use reedsail_dispatch::ServerRecord;
+use reedsail_dispatch::ServerUpdate;
 
-fn record(id: &str, is_leaving: bool) -> ServerRecord {
+fn record(id: &str, is_draining: bool) -> ServerRecord {
     ServerRecord {
         id: id.to_owned(),
         service: "llm".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
         failure_domain: "hall-a".to_owned(),
         slots: 64,
-        is_leaving,
+        is_draining,
     }
 }
 
@@ -34,8 +34,8 @@
     ServerChange::Dropped { id: id.to_owned() }
 }
 
-fn news(revision: u64, is_whole: bool, changes: Vec<ServerChange>) -> ServerNews {
-    ServerNews {
+fn news(revision: u64, is_whole: bool, changes: Vec<ServerChange>) -> ServerUpdate {
+    ServerUpdate {
         revision,
         is_whole,
         changes,
@@ -43,8 +43,8 @@
 }
 
 /// A peer's word of a list that differs from any of these tests.
-fn word(revision: u64, age_ms: u64, leaving: &[NameHash]) -> PeerWord<'_> {
-    PeerWord {
+fn word(revision: u64, age_ms: u64, leaving: &[NameHash]) -> PeerListState<'_> {
+    PeerListState {
         revision,
         digest: 0,
         age_ms,
@@ -63,7 +63,7 @@
 
 fn ids(list: &ServerList, now: TimeMs) -> Vec<String> {
     let records = list.listing(now).records;
-    let usable = records.into_iter().filter(|record| !record.is_leaving);
+    let usable = records.into_iter().filter(|record| !record.is_draining);
     let mut ids: Vec<String> = usable.map(|record| record.id).collect();
     ids.sort();
     ids
@@ -90,7 +90,7 @@
 #[test]
 fn records_dropped_while_the_store_was_away_are_doubted_not_believed() {
     let mut list = list();
-    list.note_trouble();
+    list.record_store_failure();
     let back = TimeMs(6_000);
     let changes = vec![dropped("one"), dropped("two")];
     let delta = list.apply(news(12, false, changes), back, back);
@@ -107,7 +107,7 @@
 #[test]
 fn a_record_dropped_well_after_trouble_is_believed() {
     let mut list = list();
-    list.note_trouble();
+    list.record_store_failure();
     let back = TimeMs(6_000);
     list.apply(news(12, false, Vec::new()), back, back);
     let later = TimeMs(8_100);
@@ -119,7 +119,7 @@
 fn trouble_ends_with_a_peers_list_as_with_a_read() {
     let mut list = list();
     let mut peer = list.clone();
-    list.note_trouble();
+    list.record_store_failure();
     let back = TimeMs(6_000);
     peer.apply(news(12, false, vec![announced("three")]), back, back);
     list.apply_listing(peer.listing(back), back);
@@ -132,8 +132,8 @@
 #[test]
 fn trouble_ends_with_a_peers_fresh_word_that_nothing_has_changed() {
     let mut list = list();
-    list.note_trouble();
-    list.hear_peer(&word(10, 50, &[]), TimeMs(6_000));
+    list.record_store_failure();
+    list.receive_report(&word(10, 50, &[]), TimeMs(6_000));
     let later = TimeMs(20_000);
     let delta = list.apply(news(13, false, vec![dropped("one")]), later, later);
     assert_eq!(delta.unlisted, ["one"]);
@@ -158,11 +158,14 @@
     let now = TimeMs(2_000);
     let leaving_one = [NameHash::of("one")];
     assert_eq!(
-        list.hear_peer(&word(11, 40, &leaving_one), now),
-        PeerView::Leaving
+        list.receive_report(&word(11, 40, &leaving_one), now),
+        ListComparison::Leaving
     );
     assert_eq!(ids(&list, now), ["two"]);
-    assert_eq!(list.hear_peer(&word(11, 40, &leaving_one), now), PeerView::Newer);
+    assert_eq!(
+        list.receive_report(&word(11, 40, &leaving_one), now),
+        ListComparison::Newer
+    );
     let mut peer = list.clone();
     peer.apply(news(11, false, vec![leaving("one")]), now, now);
     let delta = list.apply_listing(peer.listing(now), now);
@@ -175,8 +178,8 @@
     let mut list = list();
     let now = TimeMs(2_000);
     assert_eq!(
-        list.hear_peer(&word(9, 0, &[NameHash::of("one")]), now),
-        PeerView::NothingNew
+        list.receive_report(&word(9, 0, &[NameHash::of("one")]), now),
+        ListComparison::NothingNew
     );
     assert_eq!(ids(&list, now), ["one", "two"]);
     let old = ServerList::default().listing(now);
@@ -189,9 +192,9 @@
     let mut list = list();
     let now = TimeMs(9_000);
     assert_eq!(list.age_ms(now), 8_000);
-    list.hear_peer(&word(10, 300, &[]), now);
+    list.receive_report(&word(10, 300, &[]), now);
     assert_eq!(list.age_ms(now), 300);
-    list.hear_peer(&word(10, 5_000, &[]), now);
+    list.receive_report(&word(10, 5_000, &[]), now);
     assert_eq!(list.age_ms(now), 300);
 }
 
@@ -206,13 +209,13 @@
         now,
         now,
     );
-    let word = PeerWord {
+    let word = PeerListState {
         revision: peer.revision(),
         digest: peer.digest(),
         age_ms: 100,
         leaving: &[],
     };
-    assert_eq!(list.hear_peer(&word, now), PeerView::NothingNew);
+    assert_eq!(list.receive_report(&word, now), ListComparison::NothingNew);
     assert_eq!((list.revision(), list.age_ms(now)), (30, 100));
     peer.apply(news(31, false, vec![leaving("one")]), now, now);
     assert_ne!(peer.digest(), list.digest());
@@ -240,7 +243,7 @@
     let mut sure = list();
     let after_trouble = TimeMs(5_000);
     for list in [&mut doubting, &mut sure] {
-        list.note_trouble();
+        list.record_store_failure();
         let lapsed = vec![dropped("one"), dropped("two")];
         list.apply(news(12, false, lapsed), after_trouble, after_trouble);
     }
@@ -248,13 +251,13 @@
     let back = vec![announced("one"), announced("two")];
     let now = TimeMs(5_500);
     sure.apply(news(14, false, back), now, now);
-    let word = PeerWord {
+    let word = PeerListState {
         revision: sure.revision(),
         digest: sure.digest(),
         age_ms: 0,
         leaving: &[],
     };
-    assert_eq!(doubting.hear_peer(&word, now), PeerView::Newer);
+    assert_eq!(doubting.receive_report(&word, now), ListComparison::Newer);
     doubting.apply_listing(sure.listing(now), now);
     assert_eq!(doubting.digest(), sure.digest());
     assert!(doubting.tick(TimeMs(9_000)).is_empty());
--- a/crates/reedsail_dispatch/tests/shares.rs
+++ b/crates/reedsail_dispatch/tests/shares.rs
@@ -6,15 +6,15 @@
 use reedsail_core::ErrorKind;
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Decision;
 use reedsail_dispatch::Demand;
 use reedsail_dispatch::DispatchSettings;
 use reedsail_dispatch::Dispatcher;
 use reedsail_dispatch::LoadReport;
 use reedsail_dispatch::Prompt;
-use reedsail_dispatch::PromptPart;
-use reedsail_dispatch::RepeatWindow;
-use reedsail_dispatch::RunOutcome;
+use reedsail_dispatch::PromptSegment;
+use reedsail_dispatch::RetryWindow;
 use reedsail_dispatch::ServerSetup;
 use reedsail_dispatch::WorkspaceUseRow;
 use reedsail_dispatch::max_min_level;
@@ -29,7 +29,7 @@
         service: service(),
         failure_domain: NameHash::of("hall"),
         slots: 64,
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
@@ -61,12 +61,12 @@
     fn repeats_stay_within_ratio_and_slack_in_every_window(
         steps in prop::collection::vec((0_u64..400, 0_u8..4), 1..400),
     ) {
-        let mut window = RepeatWindow::new(10_000);
+        let mut window = RetryWindow::new(10_000);
         let mut now = TimeMs(50_000);
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
-        for (pause_ms, kind) in steps {
-            now = now.plus_ms(pause_ms);
+        for (interval_ms, kind) in steps {
+            now = now.plus_ms(interval_ms);
             if kind == 0 {
                 if window.take(0.2, 3.0, now) {
                     repeats.push(now);
@@ -90,8 +90,8 @@
 /// A prompt of its own kind, so that no two requests share a server's memory.
 fn prompt(id: u64) -> Prompt {
     let parts = vec![
-        PromptPart { id, tokens: 100 },
-        PromptPart {
+        PromptSegment { id, tokens: 100 },
+        PromptSegment {
             id: id + 1_000_000,
             tokens: 4_000,
         },
@@ -115,13 +115,13 @@
     for step in 0..600_u64 {
         now = now.plus_ms(20);
         if let Some(report) = peer_use {
-            dispatcher.hear_peer(NameHash::of("peer"), report.clone(), now);
+            dispatcher.receive_report(NameHash::of("peer"), report.clone(), now);
         }
         // An engine reads 40 tokens a millisecond, so a prompt takes 100 ms.
         while running.first().is_some_and(|(_, done_at)| *done_at <= now) {
             let (mut run, done_at) = running.remove(0);
             dispatcher.note_answer(&mut run, done_at);
-            dispatcher.finish(run, RunOutcome::Answered, done_at);
+            dispatcher.finish(run, AttemptOutcome::Answered, done_at);
         }
         let is_small = step % 16 == 0;
         let workspace = if is_small { "small" } else { "large" };
@@ -130,11 +130,11 @@
             service: service(),
             workspace: NameHash::of(workspace),
             prompt: Some(&prompt),
-            goal_ms: 800,
+            latency_target_ms: 800,
             waited_ms: 0,
             tried: &[],
         };
-        dispatcher.count_arrival(&demand, now);
+        dispatcher.record_arrival(&demand, now);
         if step >= 200 {
             asked[usize::from(is_small)] += 1.0;
         }
@@ -166,8 +166,8 @@
 fn what_a_workspace_got_from_other_daemons_counts_here() {
     let use_elsewhere = |name: &str, cost: f32| WorkspaceUseRow {
         workspace: NameHash::of(name),
-        asked_cost: cost * 2.0,
-        begun_cost: cost,
+        requested_cost: cost * 2.0,
+        sent_cost: cost,
     };
     let report = LoadReport {
         workspaces: vec![use_elsewhere("small", 2_000_000.0)],
--- a/crates/reedsail_router/src/configuration.rs
+++ b/crates/reedsail_router/src/configuration.rs
@@ -55,7 +55,8 @@
     /// How long a request may be held.
     pub timeout_ms: u64,
     /// Within which time an answer is worth its full value.
-    pub goal_ms: u64,
+    #[serde(rename = "goal_ms")]
+    pub latency_target_ms: u64,
     /// On how many servers one request may run.
     pub attempts: u32,
     /// Its requests need no key.
@@ -66,7 +67,7 @@
 
 impl Route {
     /// Tells whether a request may be sent again after it may have run.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.answer {
             AnswerShape::Whole => self.repetition == Repetition::Allowed,
             AnswerShape::Events { resumable } => resumable,
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -7,13 +7,13 @@
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
+use reedsail_dispatch::ListComparison;
 use reedsail_dispatch::ListDelta;
-use reedsail_dispatch::PeerView;
-use reedsail_dispatch::PeerWord;
+use reedsail_dispatch::PeerListState;
 use reedsail_dispatch::ServerList;
 use reedsail_dispatch::ServerListing;
-use reedsail_dispatch::ServerNews;
 use reedsail_dispatch::ServerSetup;
+use reedsail_dispatch::ServerUpdate;
 use reedsail_events::EventKind;
 use reedsail_wire::LoadMessage;
 use xtra::Actor;
@@ -22,7 +22,7 @@
 
 use super::member_table::Heard;
 use super::member_table::MemberTable;
-use super::round::Errand;
+use super::round::PeerFetch;
 use super::round::Round;
 use crate::Configuration;
 use crate::HeaderProtocol;
@@ -35,8 +35,8 @@
 const SERVERS_STALE_MS: u64 = 1_200;
 /// The same for the configuration, of which the store is asked less often.
 const CONFIGURATION_STALE_MS: u64 = 1_700;
-/// How long an errand may take before it is tried elsewhere.
-const ERRAND_MS: u64 = 500;
+/// How long an fetch may take before it is tried elsewhere.
+const PEER_FETCH_MS: u64 = 500;
 
 /// The state of the control thread.
 pub(crate) struct Control<H> {
@@ -50,8 +50,8 @@
     next_round_at: TimeMs,
     /// When the configuration in force was known to be the newest.
     configuration_known_at: Option<TimeMs>,
-    /// Until when no further errand is sent.
-    errand_until: TimeMs,
+    /// Until when no further fetch is sent.
+    fetch_again_at: TimeMs,
     /// Sources that did not answer last time.
     lost: Vec<Source>,
 }
@@ -87,7 +87,7 @@
 
 /// The store showed what has changed among the servers.
 pub(crate) struct ServersRead {
-    pub(crate) news: ServerNews,
+    pub(crate) news: ServerUpdate,
     pub(crate) asked_at: TimeMs,
 }
 
@@ -131,7 +131,7 @@
             servers: ServerList::default(),
             next_round_at: TimeMs(0),
             configuration_known_at: None,
-            errand_until: TimeMs(0),
+            fetch_again_at: TimeMs(0),
             lost: Vec::new(),
             shared,
         }
@@ -169,7 +169,7 @@
                 service: NameHash::of(&record.service),
                 failure_domain: NameHash::of(&record.failure_domain),
                 slots: record.slots,
-                is_leaving: record.is_leaving,
+                is_draining: record.is_draining,
             })
             .collect();
         let mut dispatcher = self.shared.dispatcher();
@@ -222,7 +222,7 @@
             Source::Configuration => (self.configuration_age_ms(now), CONFIGURATION_STALE_MS),
             Source::Servers => (self.servers.age_ms(now), SERVERS_STALE_MS),
         };
-        let is_stale = age_ms > most_ms + self.members.times().news_late_ms;
+        let is_stale = age_ms > most_ms + self.members.times().update_delay_ms;
         is_stale
             || self
                 .members
@@ -259,8 +259,8 @@
     }
 
     /// Asks a peer for what the store does not give, or gives later.
-    fn errands(&mut self, now: TimeMs) -> Vec<Errand> {
-        if now < self.errand_until {
+    fn fetches(&mut self, now: TimeMs) -> Vec<PeerFetch> {
+        if now < self.fetch_again_at {
             return Vec::new();
         }
         let own_version = self.shared.routes.load().version();
@@ -270,18 +270,18 @@
             .alive()
             .filter(|member| member.configuration_version > own_version)
             .max_by_key(|member| member.configuration_version)
-            .map(|member| Errand::Configuration(member.address));
+            .map(|member| PeerFetch::Configuration(member.address));
         let fresher = self
             .members
             .alive()
             .filter(|member| member.servers_revision > own_revision)
             .max_by_key(|member| (member.failure_domain == self.own_domain, member.servers_revision))
-            .map(|member| Errand::Servers(member.address));
-        let errands: Vec<Errand> = newer.into_iter().chain(fresher).collect();
-        if !errands.is_empty() {
-            self.errand_until = now.plus_ms(ERRAND_MS);
+            .map(|member| PeerFetch::Servers(member.address));
+        let fetches: Vec<PeerFetch> = newer.into_iter().chain(fresher).collect();
+        if !fetches.is_empty() {
+            self.fetch_again_at = now.plus_ms(PEER_FETCH_MS);
         }
-        errands
+        fetches
     }
 }
 
@@ -362,7 +362,7 @@
         }
         if let Some(fault) = heard.fault {
             if heard.source == Source::Servers {
-                self.servers.note_trouble();
+                self.servers.record_store_failure();
             }
             if !was_lost {
                 self.lost.push(heard.source);
@@ -403,19 +403,19 @@
             }
         }
         self.hear_configuration_age(&message, now);
-        let word = PeerWord {
+        let word = PeerListState {
             revision: message.servers_revision,
             digest: message.servers_digest,
             age_ms: u64::from(message.servers_age_ms),
             leaving: &message.leaving,
         };
-        let view = self.servers.hear_peer(&word, now);
-        if view == PeerView::Leaving {
+        let view = self.servers.receive_report(&word, now);
+        if view == ListComparison::Leaving {
             self.publish_servers(now);
         }
         self.shared
             .dispatcher()
-            .hear_peer(message.instance, message.load, now);
+            .receive_report(message.instance, message.load, now);
     }
 }
 
@@ -458,25 +458,25 @@
         }
         self.shared.dispatcher().tick(now);
         for (peer, address) in self.members.drop_silent(now) {
-            self.shared.dispatcher().forget_peer(peer);
+            self.shared.dispatcher().drop_peer(peer);
             let fields = [("peer", address.to_string())];
             self.shared.emit(EventKind::PeerSuspected, &fields);
         }
-        let errands = self.errands(now);
+        let fetches = self.fetches(now);
         if now < self.next_round_at {
             return Round {
-                errands,
+                fetches,
                 ..Round::default()
             };
         }
         let alive = self.members.alive().count();
         self.shared.metrics.peers_alive.set(alive as i64);
-        self.next_round_at = now.plus_ms(self.members.times().pause_ms);
+        self.next_round_at = now.plus_ms(self.members.times().interval_ms);
         let datagram = self.message(now).encode().unwrap_or_default();
         Round {
             datagram,
             targets: self.members.targets(now),
-            errands,
+            fetches,
         }
     }
 }
--- a/crates/reedsail_router/src/control/member_table.rs
+++ b/crates/reedsail_router/src/control/member_table.rs
@@ -5,7 +5,7 @@
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
-use reedsail_dispatch::RoundTimes;
+use reedsail_dispatch::GossipTiming;
 use reedsail_wire::LoadMessage;
 use reedsail_wire::MemberRow;
 
@@ -50,7 +50,7 @@
     seeds: Vec<SocketAddrV4>,
     seeds_told_at: TimeMs,
     rows_from: usize,
-    times: RoundTimes,
+    times: GossipTiming,
 }
 
 impl MemberTable {
@@ -64,10 +64,10 @@
         for row in &message.members {
             self.learn(*row, now);
         }
-        let silent_ms = self.times.silent_ms;
+        let peer_silent_ms = self.times.peer_silent_ms;
         let known = self.members.get(&message.instance);
         let is_alive =
-            known.is_some_and(|member| member.is_heard && now.since_ms(member.heard_at) < silent_ms);
+            known.is_some_and(|member| member.is_heard && now.since_ms(member.heard_at) < peer_silent_ms);
         let is_stale = known.is_some_and(|member| {
             member.is_heard
                 && member.incarnation == message.incarnation
@@ -112,15 +112,15 @@
     pub(crate) fn drop_silent(&mut self, now: TimeMs) -> Vec<(NameHash, SocketAddrV4)> {
         self.members
             .retain(|_, member| now.since_ms(member.heard_at) < FORGET_MS);
-        let silent_ms = self.times.silent_ms;
+        let peer_silent_ms = self.times.peer_silent_ms;
         let mut silent = Vec::new();
         for (instance, member) in &mut self.members {
-            if member.is_heard && now.since_ms(member.heard_at) >= silent_ms {
+            if member.is_heard && now.since_ms(member.heard_at) >= peer_silent_ms {
                 member.is_heard = false;
                 silent.push((*instance, member.address));
             }
         }
-        self.times = RoundTimes::of(self.alive().count());
+        self.times = GossipTiming::of(self.alive().count());
         silent
     }
 
@@ -166,19 +166,19 @@
     /// Tells whether no daemon of the failure domain that was heard just now has a smaller name: of
     /// each domain, that daemon reads the store and tells the others.
     pub(crate) fn is_first_of_domain(&self, own: NameHash, domain: NameHash, now: TimeMs) -> bool {
-        let silent_ms = self.times.reader_silent_ms;
+        let peer_silent_ms = self.times.reader_silent_ms;
         !self.members.iter().any(|(instance, member)| {
             member.is_heard
                 && !member.is_stopping
                 && member.failure_domain == domain
-                && now.since_ms(member.heard_at) < silent_ms
+                && now.since_ms(member.heard_at) < peer_silent_ms
                 && *instance < own
         })
     }
 
     /// Returns the times that follow from how many daemons were heard at the last tick: messages are
     /// far more frequent.
-    pub(crate) fn times(&self) -> RoundTimes {
+    pub(crate) fn times(&self) -> GossipTiming {
         self.times
     }
 
--- a/crates/reedsail_router/src/control/mod.rs
+++ b/crates/reedsail_router/src/control/mod.rs
@@ -1,9 +1,9 @@
 //! The control thread: what the daemon believes, and the tasks that feed and spread it.
 
 mod actor;
-mod errand;
 mod follow;
 mod member_table;
+mod peer_fetch;
 mod round;
 mod thread;
 
--- a/crates/reedsail_router/src/control/errand.rs
+++ b/crates/reedsail_router/src/control/peer_fetch.rs
@@ -20,24 +20,24 @@
 use super::actor::ConfigurationRead;
 use super::actor::Control;
 use super::actor::PeerServersRead;
-use super::round::Errand;
+use super::round::PeerFetch;
 use crate::HeaderProtocol;
 use crate::admin::CONFIGURATION_PATH;
 use crate::admin::SERVERS_PATH;
 
-/// How long an errand may take.
-const ERRAND_MS: u64 = 450;
+/// How long an fetch may take.
+const PEER_FETCH_MS: u64 = 450;
 /// How long connecting may take.
 const CONNECT_MS: u64 = 200;
 /// The largest answer that is read.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
-/// Runs an errand; one that fails is sent anew by a later tick.
-pub(crate) async fn run_errand<H: HeaderProtocol>(errand: Errand, control: Address<Control<H>>) {
-    let limit = Duration::from_millis(ERRAND_MS);
-    match errand {
-        Errand::Configuration(peer) => {
-            if let Ok(Some(configuration)) = timeout(limit, fetch(peer, CONFIGURATION_PATH)).await {
+/// Runs a fetch; one that fails is sent anew by a later tick.
+pub(crate) async fn run_fetch<H: HeaderProtocol>(fetch: PeerFetch, control: Address<Control<H>>) {
+    let limit = Duration::from_millis(PEER_FETCH_MS);
+    match fetch {
+        PeerFetch::Configuration(peer) => {
+            if let Ok(Some(configuration)) = timeout(limit, fetch_page(peer, CONFIGURATION_PATH)).await {
                 let read = ConfigurationRead {
                     configuration,
                     origin: "peer",
@@ -45,15 +45,15 @@
                 let _ = control.send(read).await;
             }
         }
-        Errand::Servers(peer) => {
-            if let Ok(Some(records)) = timeout(limit, fetch(peer, SERVERS_PATH)).await {
+        PeerFetch::Servers(peer) => {
+            if let Ok(Some(records)) = timeout(limit, fetch_page(peer, SERVERS_PATH)).await {
                 let _ = control.send(PeerServersRead(records)).await;
             }
         }
     }
 }
 
-async fn fetch<T: DeserializeOwned>(peer: SocketAddrV4, path: &str) -> Option<T> {
+async fn fetch_page<T: DeserializeOwned>(peer: SocketAddrV4, path: &str) -> Option<T> {
     let address = SocketAddr::V4(peer);
     let mut connection = HttpConnection::open(address, CONNECT_MS, ByteCounter::default())
         .await
--- a/crates/reedsail_router/src/control/round.rs
+++ b/crates/reedsail_router/src/control/round.rs
@@ -4,7 +4,7 @@
 
 /// Something to fetch from a peer, over TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Errand {
+pub(crate) enum PeerFetch {
     /// The configuration in force there.
     Configuration(SocketAddrV4),
     /// The list of backend servers there.
@@ -18,5 +18,5 @@
     pub(crate) datagram: Vec<u8>,
     pub(crate) targets: Vec<SocketAddrV4>,
     /// What to fetch.
-    pub(crate) errands: Vec<Errand>,
+    pub(crate) fetches: Vec<PeerFetch>,
 }
--- a/crates/reedsail_router/src/control/thread.rs
+++ b/crates/reedsail_router/src/control/thread.rs
@@ -19,9 +19,9 @@
 use super::actor::PeerHeard;
 use super::actor::SeedsChanged;
 use super::actor::Tick;
-use super::errand::run_errand;
 use super::follow::follow_configuration;
 use super::follow::follow_servers;
+use super::peer_fetch::run_fetch;
 use crate::ConfigurationSource;
 use crate::HeaderProtocol;
 use crate::ServerSource;
@@ -91,8 +91,8 @@
         let Ok(round) = control.send(Tick).await else {
             return;
         };
-        for errand in round.errands {
-            spawn_local(run_errand(errand, control.clone()));
+        for fetch in round.fetches {
+            spawn_local(run_fetch(fetch, control.clone()));
         }
         let sent = shared.metrics.peer_messages.with_label_values(&["sent"]);
         for target in round.targets {
--- a/crates/reedsail_router/src/header_values.rs
+++ b/crates/reedsail_router/src/header_values.rs
@@ -4,7 +4,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::header::HeaderValue;
 use reedsail_dispatch::Prompt;
-use reedsail_dispatch::PromptPart;
+use reedsail_dispatch::PromptSegment;
 
 use crate::HeaderFault;
 
@@ -42,7 +42,7 @@
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
-    let parts: Option<Vec<PromptPart>> = text
+    let parts: Option<Vec<PromptSegment>> = text
         .split(',')
         .filter(|part| !part.is_empty())
         .map(read_part)
@@ -55,9 +55,9 @@
         })
 }
 
-fn read_part(text: &str) -> Option<PromptPart> {
+fn read_part(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(PromptPart {
+    Some(PromptSegment {
         id: u64::from_str_radix(id, 16).ok()?,
         tokens: tokens.parse().ok()?,
     })
--- a/crates/reedsail_router/src/protocol.rs
+++ b/crates/reedsail_router/src/protocol.rs
@@ -45,7 +45,7 @@
     /// The workspace; `None` on a route without keys.
     pub workspace: Option<&'a str>,
     /// A server that keeps what the meant one has not read of the prompt.
-    pub copy_from: Option<SocketAddr>,
+    pub cache_source: Option<SocketAddr>,
     /// The last event that the caller has of a stream which is to go on.
     pub resume_after: Option<&'a str>,
 }
--- a/crates/reedsail_router/src/settings.rs
+++ b/crates/reedsail_router/src/settings.rs
@@ -162,9 +162,9 @@
 fn read_dispatch(value: &Value<'_>) -> Option<DispatchSettings> {
     let mut map = value.mapping()?;
     let mut dispatch = DispatchSettings::default();
-    set_amount(&mut map, "repeat_ratio", &mut dispatch.repeat_ratio);
-    set_span(&mut map, "repeat_window_ms", &mut dispatch.repeat_window_ms);
-    set_amount(&mut map, "repeat_slack", &mut dispatch.repeat_slack);
+    set_amount(&mut map, "repeat_ratio", &mut dispatch.retry_ratio);
+    set_span(&mut map, "repeat_window_ms", &mut dispatch.retry_window_ms);
+    set_amount(&mut map, "repeat_slack", &mut dispatch.retry_slack);
     set_span(&mut map, "share_window_ms", &mut dispatch.share_window_ms);
     set_span(&mut map, "report_valid_ms", &mut dispatch.report_valid_ms);
     map.close();
--- a/crates/reedsail_router/src/shared.rs
+++ b/crates/reedsail_router/src/shared.rs
@@ -12,8 +12,8 @@
 use rand::Rng;
 use reedsail_core::NameHash;
 use reedsail_core::ServerKey;
-use reedsail_dispatch::Crowding;
 use reedsail_dispatch::Dispatcher;
+use reedsail_dispatch::OverloadMonitor;
 use reedsail_events::EventKind;
 use reedsail_events::EventLog;
 use reedsail_net::Clock;
@@ -42,7 +42,7 @@
     pub(crate) events: EventLog,
     pub(crate) metrics: Metrics,
     pub(crate) lifecycle: Lifecycle,
-    pub(crate) crowding: Crowding,
+    pub(crate) overload: OverloadMonitor,
     /// Callers' connections that are open.
     pub(crate) connections: AtomicUsize,
     pub(crate) routes: ArcSwap<RouteTable>,
@@ -61,7 +61,7 @@
             clock: Clock::default(),
             metrics: Metrics::new(),
             lifecycle: Lifecycle::default(),
-            crowding: Crowding::default(),
+            overload: OverloadMonitor::default(),
             connections: AtomicUsize::new(0),
             routes: ArcSwap::default(),
             servers: ArcSwap::default(),
@@ -86,14 +86,14 @@
     /// while callers keep more of them than its memory allows, and one in a few while they crowd it.
     pub(crate) fn sheds_connection(&self) -> bool {
         self.lifecycle.is_stopping()
-            || (self.crowding.is_crowded() && rand::rng().random_ratio(1, CROWDED_CLOSE_ONE_IN))
+            || (self.overload.is_crowded() && rand::rng().random_ratio(1, CROWDED_CLOSE_ONE_IN))
             || self.connections.load(Ordering::Relaxed) as u64 > self.settings.connections_max()
     }
 
     /// Tells whether the balancer may send new connections.
     pub(crate) fn is_ready(&self) -> bool {
         !self.lifecycle.is_stopping()
-            && !self.crowding.was_crowded(self.clock.now())
+            && !self.overload.was_crowded(self.clock.now())
             && self.routes.load().version() > 0
             && !self.servers.load().is_empty()
     }
--- a/crates/reedsail_router/src/source.rs
+++ b/crates/reedsail_router/src/source.rs
@@ -2,7 +2,7 @@
 //!
 //! The adapter of a platform implements these; they translate, and decide nothing.
 
-use reedsail_dispatch::ServerNews;
+use reedsail_dispatch::ServerUpdate;
 use thiserror::Error;
 
 use crate::Configuration;
@@ -29,5 +29,5 @@
 pub trait ServerSource: 'static {
     /// Returns at once what has changed since the last call, or since `known_revision` if that is
     /// later: what lies before it was learned from a peer.
-    fn poll(&mut self, known_revision: u64) -> impl Future<Output = Result<ServerNews, SourceError>>;
+    fn poll(&mut self, known_revision: u64) -> impl Future<Output = Result<ServerUpdate, SourceError>>;
 }
--- a/crates/reedsail_router/src/traffic/run_guard.rs
+++ b/crates/reedsail_router/src/traffic/attempt_guard.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 
 use reedsail_core::ServerKey;
+use reedsail_dispatch::Attempt;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Demand;
 use reedsail_dispatch::Placement;
-use reedsail_dispatch::Run;
-use reedsail_dispatch::RunOutcome;
 
 use crate::shared::Shared;
 
 /// A run on a backend server; dropping it counts as the caller's leaving.
 #[derive(Debug)]
-pub(crate) struct RunGuard<H> {
+pub(crate) struct AttemptGuard<H> {
     shared: Arc<Shared<H>>,
-    run: Option<Run>,
+    run: Option<Attempt>,
 }
 
-impl<H> RunGuard<H> {
+impl<H> AttemptGuard<H> {
     pub(crate) fn begin(shared: &Arc<Shared<H>>, demand: &Demand<'_>, placement: &Placement) -> Self {
         let now = shared.clock.now();
         let run = shared.dispatcher().begin(demand, placement, now);
@@ -28,7 +28,7 @@
     }
 
     pub(crate) fn server(&self) -> Option<ServerKey> {
-        self.run.as_ref().map(Run::server)
+        self.run.as_ref().map(Attempt::server)
     }
 
     /// Records the first part of the answer.
@@ -40,11 +40,11 @@
     }
 
     /// Ends the run with what became of it.
-    pub(crate) fn close(mut self, outcome: RunOutcome) {
+    pub(crate) fn close(mut self, outcome: AttemptOutcome) {
         self.end(outcome);
     }
 
-    fn end(&mut self, outcome: RunOutcome) {
+    fn end(&mut self, outcome: AttemptOutcome) {
         if let Some(run) = self.run.take() {
             let now = self.shared.clock.now();
             self.shared.dispatcher().finish(run, outcome, now);
@@ -52,8 +52,8 @@
     }
 }
 
-impl<H> Drop for RunGuard<H> {
+impl<H> Drop for AttemptGuard<H> {
     fn drop(&mut self) {
-        self.end(RunOutcome::Abandoned);
+        self.end(AttemptOutcome::Abandoned);
     }
 }
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -68,7 +68,7 @@
                 .as_ref()
                 .map_or(NameHash::default(), |workspace| workspace.hash),
             prompt: self.prompt.as_ref(),
-            goal_ms: self.route.goal_ms,
+            latency_target_ms: self.route.latency_target_ms,
             waited_ms: now.since_ms(self.arrived_at),
             tried,
         }
@@ -92,7 +92,7 @@
     arrived_at: TimeMs,
 ) -> Result<Call, ErrorKind> {
     let open_requests = shared.metrics.open_requests.get() as u64;
-    if open_requests > shared.settings.open_requests_max() || shared.crowding.is_overloaded() {
+    if open_requests > shared.settings.open_requests_max() || shared.overload.is_overloaded() {
         return Err(ErrorKind::DaemonOverloaded);
     }
     let limits = shared.routes.load().configuration.limits;
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -10,15 +10,15 @@
 use reedsail_core::ErrorKind;
 use reedsail_core::Sent;
 use reedsail_core::Unsent;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Placement;
-use reedsail_dispatch::RunOutcome;
 use reedsail_net::Exchange;
 use reedsail_net::HttpConnection;
 use reedsail_net::exchange;
 
 use super::Pool;
+use super::attempt_guard::AttemptGuard;
 use super::call::Call;
-use super::run_guard::RunGuard;
 use crate::AnswerHead;
 use crate::ForwardHead;
 use crate::HeaderProtocol;
@@ -33,7 +33,7 @@
     pub(crate) sent: Sent,
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: HttpConnection,
-    pub(crate) guard: RunGuard<H>,
+    pub(crate) guard: AttemptGuard<H>,
 }
 
 /// What came of a try; the run has ended but for an answer.
@@ -55,15 +55,15 @@
     call: &Call,
     placement: &Placement,
     resume_after: Option<&str>,
-    guard: RunGuard<H>,
+    guard: AttemptGuard<H>,
 ) -> Try<H> {
     let unsent = Unsent::new();
     let Some(server) = shared.servers.load().get(&placement.server).cloned() else {
-        guard.close(RunOutcome::Abandoned);
+        guard.close(AttemptOutcome::Abandoned);
         return Try::NotSent(unsent);
     };
     let Some(request) = build_request(shared, call, placement, &server, resume_after) else {
-        guard.close(RunOutcome::Abandoned);
+        guard.close(AttemptOutcome::Abandoned);
         return Try::NotSent(unsent);
     };
     let now = shared.clock.now();
@@ -80,12 +80,12 @@
         None => (request, unsent),
     };
     let Some(connection) = open(shared, call, &server).await else {
-        guard.close(RunOutcome::Unreachable);
+        guard.close(AttemptOutcome::Unreachable);
         return Try::NotSent(unsent);
     };
     match exchange(connection, request, unsent, deadline).await {
         Exchange::HandedBack(unsent, _) => {
-            guard.close(RunOutcome::Unreachable);
+            guard.close(AttemptOutcome::Unreachable);
             Try::NotSent(unsent)
         }
         Exchange::Head(sent, response, connection) => {
@@ -95,12 +95,12 @@
     }
 }
 
-fn fail<H>(guard: RunGuard<H>, sent: Sent, kind: ErrorKind) -> Try<H> {
+fn fail<H>(guard: AttemptGuard<H>, sent: Sent, kind: ErrorKind) -> Try<H> {
     // A deadline of the caller's own says little of the server; overdue answers are judged apart.
     let outcome = if kind == ErrorKind::DeadlineAfterSend {
-        RunOutcome::Abandoned
+        AttemptOutcome::Abandoned
     } else {
-        RunOutcome::Failed
+        AttemptOutcome::Failed
     };
     guard.close(outcome);
     Try::Failed(sent, kind)
@@ -122,7 +122,7 @@
     sent: Sent,
     response: Response<Incoming>,
     connection: HttpConnection,
-    guard: RunGuard<H>,
+    guard: AttemptGuard<H>,
 ) -> Try<H> {
     let head = shared
         .protocol
@@ -130,7 +130,7 @@
     match head {
         AnswerHead::Mismatched => fail(guard, sent, ErrorKind::AnswerMismatched),
         AnswerHead::NotRun => {
-            guard.close(RunOutcome::Rejected);
+            guard.close(AttemptOutcome::Rejected);
             // The server's word takes the place of never having sent.
             Try::Rejected(sent.handed_back())
         }
@@ -151,8 +151,8 @@
     resume_after: Option<&str>,
 ) -> Option<Request<Full<Bytes>>> {
     let deadline_ms = call.time_left_ms(shared.clock.now())?;
-    let copy_from = placement
-        .copy_from
+    let cache_source = placement
+        .cache_source
         .and_then(|key| shared.servers.load().get(&key).map(|source| source.address));
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
@@ -163,7 +163,7 @@
         deadline_ms,
         server_id: &server.id,
         workspace: call.workspace.as_ref().map(|workspace| workspace.name.as_str()),
-        copy_from,
+        cache_source,
         resume_after,
     };
     shared.protocol.write_forward(request.headers_mut(), &forward);
--- a/crates/reedsail_router/src/traffic/forward.rs
+++ b/crates/reedsail_router/src/traffic/forward.rs
@@ -15,6 +15,7 @@
 
 use super::Pool;
 use super::answer::AnswerBody;
+use super::attempt_guard::AttemptGuard;
 use super::call::Call;
 use super::exchange::Answering;
 use super::exchange::Try;
@@ -22,7 +23,6 @@
 use super::relay::RelayBody;
 use super::relay::relay_whole;
 use super::resume::relay_resumable;
-use super::run_guard::RunGuard;
 use super::serve::RequestLog;
 use crate::AnswerShape;
 use crate::HeaderProtocol;
@@ -57,7 +57,7 @@
     mut log: RequestLog<H>,
 ) -> Result<Response<AnswerBody<H>>, Failure> {
     let now = shared.clock.now();
-    shared.dispatcher().count_arrival(&call.demand(&[], now), now);
+    shared.dispatcher().record_arrival(&call.demand(&[], now), now);
     let mut tries = Tries {
         tried: Vec::new(),
         runs: 0,
@@ -100,7 +100,7 @@
                 continue;
             }
             Try::Rejected(_) => {
-                if !shared.dispatcher().take_repeat(call.service, shared.clock.now()) {
+                if !shared.dispatcher().take_retry(call.service, shared.clock.now()) {
                     break;
                 }
                 note_repeat(shared, &log, "rejected");
@@ -166,16 +166,16 @@
     call: &Call,
     tried: &[ServerKey],
     placement: &Placement,
-) -> RunGuard<H> {
+) -> AttemptGuard<H> {
     let demand = call.demand(tried, shared.clock.now());
-    RunGuard::begin(shared, &demand, placement)
+    AttemptGuard::begin(shared, &demand, placement)
 }
 
 /// Tells whether a request that may have run may run once more.
 fn may_run_again<H: HeaderProtocol>(shared: &Shared<H>, call: &Call, runs: u32) -> bool {
-    call.route.may_repeat()
+    call.route.is_repeatable()
         && runs < call.route.attempts
-        && shared.dispatcher().take_repeat(call.service, shared.clock.now())
+        && shared.dispatcher().take_retry(call.service, shared.clock.now())
 }
 
 /// Answers with what is known of the tries.
@@ -219,7 +219,7 @@
     tried: Vec<ServerKey>,
     log: RequestLog<H>,
 ) -> Response<AnswerBody<H>> {
-    if call.route.may_repeat() {
+    if call.route.is_repeatable() {
         relay_resumable(shared, pool, call, answering, tried, log)
     } else {
         RelayBody::start(shared, pool, &call, answering, log)
@@ -246,7 +246,7 @@
         ("configuration", call.configuration_version.to_string()),
         ("server", log.server.clone()),
         ("expected_ms", placement.expected_ms.to_string()),
-        ("unread_tokens", placement.unread_tokens.to_string()),
+        ("unread_tokens", placement.prefill_tokens.to_string()),
         ("running_own", own.to_string()),
         ("running_all", all.to_string()),
     ];
--- a/crates/reedsail_router/src/traffic/mod.rs
+++ b/crates/reedsail_router/src/traffic/mod.rs
@@ -1,12 +1,12 @@
 //! The traffic threads: callers' requests, from the first byte to the last.
 
 mod answer;
+mod attempt_guard;
 mod call;
 mod exchange;
 mod forward;
 mod relay;
 mod resume;
-mod run_guard;
 mod serve;
 mod thread;
 
--- a/crates/reedsail_router/src/traffic/relay.rs
+++ b/crates/reedsail_router/src/traffic/relay.rs
@@ -20,7 +20,7 @@
 use hyper::header::CONTENT_LENGTH;
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
-use reedsail_dispatch::RunOutcome;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_net::HttpConnection;
 use tokio::time::Sleep;
 use tokio::time::sleep_until;
@@ -30,9 +30,9 @@
 use super::answer::AnswerBody;
 use super::answer::AnswerBroken;
 use super::answer::remove_hop_headers;
+use super::attempt_guard::AttemptGuard;
 use super::call::Call;
 use super::exchange::Answering;
-use super::run_guard::RunGuard;
 use super::serve::RequestLog;
 use crate::HeaderProtocol;
 use crate::shared::Shared;
@@ -61,7 +61,7 @@
     let body = match read {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) => {
-            answering.guard.close(RunOutcome::Failed);
+            answering.guard.close(AttemptOutcome::Failed);
             let kind = if error.is::<LengthLimitError>() {
                 ErrorKind::AnswerTooLarge
             } else {
@@ -70,7 +70,7 @@
             return Err(answering.sent.fail(kind));
         }
         Err(_) => {
-            answering.guard.close(RunOutcome::Abandoned);
+            answering.guard.close(AttemptOutcome::Abandoned);
             return Err(answering.sent.fail(ErrorKind::DeadlineAfterSend));
         }
     };
@@ -79,9 +79,9 @@
         pool.give_back(server, answering.connection, &parts.headers, shared.clock.now());
     }
     answering.guard.close(if is_failure {
-        RunOutcome::Failed
+        AttemptOutcome::Failed
     } else {
-        RunOutcome::Answered
+        AttemptOutcome::Answered
     });
     let mut headers = parts.headers;
     remove_hop_headers(&mut headers);
@@ -118,7 +118,7 @@
 
 #[derive(Debug)]
 struct OpenRun<H> {
-    guard: RunGuard<H>,
+    guard: AttemptGuard<H>,
     connection: HttpConnection,
 }
 
@@ -174,14 +174,14 @@
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Err(_))) => {
-                self.break_off(RunOutcome::Failed, "backend_broke_off");
+                self.break_off(AttemptOutcome::Failed, "backend_broke_off");
                 Poll::Ready(Some(Err(AnswerBroken)))
             }
             Poll::Pending => {
                 if self.cut_at.as_mut().poll(context).is_pending() {
                     return Poll::Pending;
                 }
-                self.break_off(RunOutcome::Abandoned, "deadline");
+                self.break_off(AttemptOutcome::Abandoned, "deadline");
                 Poll::Ready(Some(Err(AnswerBroken)))
             }
         }
@@ -194,11 +194,11 @@
             self.pool
                 .give_back(server, open.connection, &self.answer_headers, now);
         }
-        open.guard.close(RunOutcome::Answered);
+        open.guard.close(AttemptOutcome::Answered);
         self.log.end("answered");
     }
 
-    fn break_off(&mut self, outcome: RunOutcome, how: &'static str) {
+    fn break_off(&mut self, outcome: AttemptOutcome, how: &'static str) {
         if let Some(open) = self.open.take() {
             open.guard.close(outcome);
             self.log.end(how);
--- a/crates/reedsail_router/src/traffic/resume.rs
+++ b/crates/reedsail_router/src/traffic/resume.rs
@@ -11,8 +11,8 @@
 use hyper::body::Frame;
 use hyper::body::Incoming;
 use reedsail_core::ServerKey;
+use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Decision;
-use reedsail_dispatch::RunOutcome;
 use reedsail_events::EventKind;
 use reedsail_net::EventSplitter;
 use tokio::sync::mpsc;
@@ -23,12 +23,12 @@
 use super::answer::AnswerBody;
 use super::answer::AnswerBroken;
 use super::answer::remove_hop_headers;
+use super::attempt_guard::AttemptGuard;
 use super::call::Call;
 use super::exchange::Answering;
 use super::exchange::Try;
 use super::exchange::try_once;
 use super::relay::answer_from;
-use super::run_guard::RunGuard;
 use super::serve::RequestLog;
 use crate::HeaderProtocol;
 use crate::shared::Shared;
@@ -127,7 +127,7 @@
             match self.pass_on(&mut body, &mut guard).await {
                 PartEnd::Whole => {
                     self.give_back(&guard, answering.connection, &parts.headers);
-                    guard.close(RunOutcome::Answered);
+                    guard.close(AttemptOutcome::Answered);
                     self.log.end("answered");
                     return;
                 }
@@ -136,7 +136,7 @@
                     self.log.end("deadline");
                     break;
                 }
-                PartEnd::Broken => guard.close(RunOutcome::Failed),
+                PartEnd::Broken => guard.close(AttemptOutcome::Failed),
             }
             drop(body);
             let Some(next) = self.go_on_elsewhere().await else {
@@ -149,7 +149,7 @@
     }
 
     /// Passes whole events on until the server's part of the stream ends.
-    async fn pass_on(&mut self, body: &mut Incoming, guard: &mut RunGuard<H>) -> PartEnd {
+    async fn pass_on(&mut self, body: &mut Incoming, guard: &mut AttemptGuard<H>) -> PartEnd {
         self.splitter.clear();
         let deadline = self.shared.clock.instant(self.call.deadline);
         loop {
@@ -190,17 +190,17 @@
         loop {
             let now = shared.clock.now();
             self.call.time_left_ms(now)?;
-            if !shared.dispatcher().take_repeat(self.call.service, now) {
+            if !shared.dispatcher().take_retry(self.call.service, now) {
                 return None;
             }
             // The stream has begun, so its goal no longer bounds where it may go on.
             let mut demand = self.call.demand(&self.tried, now);
             demand.waited_ms = 0;
-            demand.goal_ms = self.call.route.timeout_ms;
+            demand.latency_target_ms = self.call.route.timeout_ms;
             let Decision::Send(placement) = shared.dispatcher().decide(&demand, now) else {
                 return None;
             };
-            let guard = RunGuard::begin(&shared, &demand, &placement);
+            let guard = AttemptGuard::begin(&shared, &demand, &placement);
             if let Some(server) = shared.servers.load().get(&placement.server) {
                 self.log.server.clone_from(&server.id);
             }
@@ -223,7 +223,12 @@
         }
     }
 
-    fn give_back(&self, guard: &RunGuard<H>, connection: reedsail_net::HttpConnection, headers: &HeaderMap) {
+    fn give_back(
+        &self,
+        guard: &AttemptGuard<H>,
+        connection: reedsail_net::HttpConnection,
+        headers: &HeaderMap,
+    ) {
         if let Some(server) = guard.server() {
             self.pool
                 .give_back(server, connection, headers, self.shared.clock.now());
--- a/crates/reedsail_router/src/traffic/thread.rs
+++ b/crates/reedsail_router/src/traffic/thread.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use hyper_util::rt::TokioTimer;
-use reedsail_dispatch::CrowdingMeasure;
+use reedsail_dispatch::OverloadSample;
 use reedsail_events::EventKind;
 use reedsail_net::ByteCounter;
 use reedsail_net::CountedStream;
@@ -63,14 +63,14 @@
         let due_at = shared.clock.now().plus_ms(MEASURE_EVERY_MS);
         sleep(Duration::from_millis(MEASURE_EVERY_MS)).await;
         let now = shared.clock.now();
-        let measure = CrowdingMeasure {
+        let measure = OverloadSample {
             late_ms: now.since_ms(due_at),
             open_requests: shared.metrics.open_requests.get() as u64,
             open_requests_max: shared.settings.open_requests_max(),
         };
-        if shared.crowding.note(measure, now) {
+        if shared.overload.note(measure, now) {
             let fields = [
-                ("lag_ms", shared.crowding.lag_ms().to_string()),
+                ("lag_ms", shared.overload.lag_ms().to_string()),
                 ("open_requests", measure.open_requests.to_string()),
             ];
             shared.emit(EventKind::DaemonCrowded, &fields);
--- a/crates/reedsail_router/tests/beliefs.rs
+++ b/crates/reedsail_router/tests/beliefs.rs
@@ -84,7 +84,7 @@
     };
     site.store.servers.send_modify(|records| {
         for record in records.as_mut().unwrap() {
-            record.is_leaving = record.id == leaving;
+            record.is_draining = record.id == leaving;
         }
     });
     let admin = site.router.addresses().admin;
--- a/crates/reedsail_router/tests/common/mod.rs
+++ b/crates/reedsail_router/tests/common/mod.rs
@@ -16,8 +16,8 @@
 use hyper::body::Incoming;
 use reedsail_dispatch::DispatchSettings;
 use reedsail_dispatch::ServerChange;
-use reedsail_dispatch::ServerNews;
 use reedsail_dispatch::ServerRecord;
+use reedsail_dispatch::ServerUpdate;
 use reedsail_net::ByteCounter;
 use reedsail_net::HttpConnection;
 use reedsail_router::AnswerShape;
@@ -75,9 +75,9 @@
 pub(crate) struct MemoryServers(Shown<Vec<ServerRecord>>);
 
 impl ServerSource for MemoryServers {
-    async fn poll(&mut self, _: u64) -> Result<ServerNews, SourceError> {
+    async fn poll(&mut self, _: u64) -> Result<ServerUpdate, SourceError> {
         let records = self.0.borrow().clone().ok_or_else(away)?;
-        Ok(ServerNews {
+        Ok(ServerUpdate {
             revision: 1,
             is_whole: true,
             changes: records.into_iter().map(ServerChange::Announced).collect(),
@@ -126,7 +126,7 @@
             end_ms: 20_000,
         },
         dispatch: DispatchSettings {
-            repeat_slack: 1_000.0,
+            retry_slack: 1_000.0,
             ..DispatchSettings::default()
         },
         memory_mb: 1_024,
@@ -150,7 +150,7 @@
         address: server.address(),
         failure_domain: "hall-a".to_owned(),
         slots: 64,
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
@@ -162,7 +162,7 @@
         repetition: Repetition::Never,
         answer: AnswerShape::Whole,
         timeout_ms: 10_000,
-        goal_ms: 5_000,
+        latency_target_ms: 5_000,
         attempts: 2,
         is_anonymous: false,
         targets: vec![RouteTarget {
--- a/crates/reedsail_router/tests/common/test_headers.rs
+++ b/crates/reedsail_router/tests/common/test_headers.rs
@@ -61,7 +61,7 @@
         if let Some(workspace) = forward.workspace {
             insert_text(headers, WORKSPACE, workspace);
         }
-        if let Some(address) = forward.copy_from {
+        if let Some(address) = forward.cache_source {
             insert_text(headers, COPY_FROM, &address.to_string());
         }
         if let Some(event) = forward.resume_after {
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -8,8 +8,8 @@
 use std::sync::Mutex;
 
 use reedsail_dispatch::ServerChange;
-use reedsail_dispatch::ServerNews;
 use reedsail_dispatch::ServerRecord;
+use reedsail_dispatch::ServerUpdate;
 use reedsail_document::render_faults;
 use reedsail_events::Event;
 use reedsail_events::EventKind;
@@ -86,9 +86,9 @@
         ("memory_mb, connections", read.connections_max().to_string()),
         ("stop.accept_ms", stop.accept_ms.to_string()),
         ("stop.end_ms", stop.end_ms.to_string()),
-        ("dispatch.repeat_ratio", dispatch.repeat_ratio.to_string()),
-        ("dispatch.repeat_window_ms", dispatch.repeat_window_ms.to_string()),
-        ("dispatch.repeat_slack", dispatch.repeat_slack.to_string()),
+        ("dispatch.repeat_ratio", dispatch.retry_ratio.to_string()),
+        ("dispatch.repeat_window_ms", dispatch.retry_window_ms.to_string()),
+        ("dispatch.repeat_slack", dispatch.retry_slack.to_string()),
         ("dispatch.share_window_ms", dispatch.share_window_ms.to_string()),
         ("dispatch.report_valid_ms", dispatch.report_valid_ms.to_string()),
         ("log_lines_per_s", read.log_lines_per_s.to_string()),
@@ -242,20 +242,20 @@
     }
 }
 
-impl ServerSource for Handed<ServerNews> {
-    async fn poll(&mut self, _: u64) -> Result<ServerNews, SourceError> {
+impl ServerSource for Handed<ServerUpdate> {
+    async fn poll(&mut self, _: u64) -> Result<ServerUpdate, SourceError> {
         self.0.recv().await.unwrap()
     }
 }
 
-fn server(is_leaving: bool) -> ServerRecord {
+fn server(is_draining: bool) -> ServerRecord {
     ServerRecord {
         id: "app-1".to_owned(),
         service: "app".to_owned(),
         address: "127.0.0.1:9".parse().unwrap(),
         failure_domain: "hall-a".to_owned(),
         slots: 4,
-        is_leaving,
+        is_draining,
     }
 }
 
@@ -268,7 +268,7 @@
     let mut revision = 0;
     let mut show = |changes: Vec<ServerChange>| {
         revision += 1;
-        let news = ServerNews {
+        let news = ServerUpdate {
             revision,
             is_whole: false,
             changes,
--- a/crates/reedsail_wire/src/load_message.rs
+++ b/crates/reedsail_wire/src/load_message.rs
@@ -8,7 +8,7 @@
 use capnp::serialize_packed;
 use reedsail_core::NameHash;
 use reedsail_dispatch::LoadReport;
-use reedsail_dispatch::PartRow;
+use reedsail_dispatch::PrefixRow;
 use reedsail_dispatch::ServerLoadRow;
 use reedsail_dispatch::WorkspaceUseRow;
 
@@ -83,14 +83,14 @@
             target.set_server(row.server.0);
             target.set_running(row.running);
             target.set_failure_rate(row.failure_rate);
-            target.set_unread_tokens(row.unread_tokens);
+            target.set_unread_tokens(row.prefill_tokens);
         }
         let mut workspaces = root.reborrow().init_workspaces(self.load.workspaces.len() as u32);
         for (index, row) in (0..).zip(&self.load.workspaces) {
             let mut target = workspaces.reborrow().get(index);
             target.set_workspace(row.workspace.0);
-            target.set_asked_cost(row.asked_cost);
-            target.set_begun_cost(row.begun_cost);
+            target.set_asked_cost(row.requested_cost);
+            target.set_begun_cost(row.sent_cost);
         }
         let mut parts = root.reborrow().init_parts(self.load.parts.len() as u32);
         for (index, row) in (0..).zip(&self.load.parts) {
@@ -159,20 +159,20 @@
                         server: NameHash(row.get_server()),
                         running: row.get_running(),
                         failure_rate: row.get_failure_rate(),
-                        unread_tokens: row.get_unread_tokens(),
+                        prefill_tokens: row.get_unread_tokens(),
                     })
                     .collect(),
                 workspaces: workspaces
                     .iter()
                     .map(|row| WorkspaceUseRow {
                         workspace: NameHash(row.get_workspace()),
-                        asked_cost: bounded(row.get_asked_cost()),
-                        begun_cost: bounded(row.get_begun_cost()),
+                        requested_cost: bounded(row.get_asked_cost()),
+                        sent_cost: bounded(row.get_begun_cost()),
                     })
                     .collect(),
                 parts: parts
                     .iter()
-                    .map(|row| PartRow {
+                    .map(|row| PrefixRow {
                         part: row.get_part(),
                         server: NameHash(row.get_server()),
                     })
--- a/crates/reedsail_wire/tests/golden.rs
+++ b/crates/reedsail_wire/tests/golden.rs
@@ -22,7 +22,7 @@
 use reedsail_core::SlotRow;
 use reedsail_core::VirtualTimeRow;
 use reedsail_dispatch::LoadReport;
-use reedsail_dispatch::PartRow;
+use reedsail_dispatch::PrefixRow;
 use reedsail_dispatch::ServerLoadRow;
 use reedsail_dispatch::WorkspaceUseRow;
 use reedsail_net::ByteCounter;
@@ -84,14 +84,14 @@
                 server: NameHash(0x0a0a),
                 running: 0x0b0b,
                 failure_rate: 0x0c,
-                unread_tokens: 0x0d0d,
+                prefill_tokens: 0x0d0d,
             }],
             workspaces: vec![WorkspaceUseRow {
                 workspace: NameHash(0x0e0e),
-                asked_cost: 15.5,
-                begun_cost: 16.5,
+                requested_cost: 15.5,
+                sent_cost: 16.5,
             }],
-            parts: vec![PartRow {
+            parts: vec![PrefixRow {
                 part: 0x1111,
                 server: NameHash(0x1212),
             }],
--- a/crates/reedsail_wire/tests/load_message.rs
+++ b/crates/reedsail_wire/tests/load_message.rs
@@ -9,7 +9,7 @@
 use proptest::proptest;
 use reedsail_core::NameHash;
 use reedsail_dispatch::LoadReport;
-use reedsail_dispatch::PartRow;
+use reedsail_dispatch::PrefixRow;
 use reedsail_dispatch::ServerLoadRow;
 use reedsail_dispatch::WorkspaceUseRow;
 use reedsail_wire::LoadMessage;
@@ -33,18 +33,18 @@
                     server: NameHash(row),
                     running: row as u16,
                     failure_rate: row as u8,
-                    unread_tokens: row * 1_000,
+                    prefill_tokens: row * 1_000,
                 })
                 .collect(),
             workspaces: (0..rows)
                 .map(|row| WorkspaceUseRow {
                     workspace: NameHash(row),
-                    asked_cost: cost,
-                    begun_cost: cost / 2.0,
+                    requested_cost: cost,
+                    sent_cost: cost / 2.0,
                 })
                 .collect(),
             parts: (0..rows)
-                .map(|row| PartRow {
+                .map(|row| PrefixRow {
                     part: row,
                     server: NameHash(row),
                 })
@@ -89,7 +89,7 @@
 fn a_cost_that_is_no_amount_counts_as_nothing() {
     for cost in [f32::NAN, f32::INFINITY, -5.0] {
         let read = LoadMessage::decode(&message(1, cost).encode().unwrap()).unwrap();
-        assert!(read.load.workspaces[0].asked_cost.abs() < f32::EPSILON);
+        assert!(read.load.workspaces[0].requested_cost.abs() < f32::EPSILON);
     }
 }
 
