--- a/crates/reedsail_soak/src/fleet.rs
+++ b/crates/reedsail_soak/src/fleet.rs
@@ -114,14 +114,14 @@
     }
 
     /// Returns the record of a life.
-    pub(crate) fn spec(&self, id: &str, is_leaving: bool) -> ServerSpec {
+    pub(crate) fn spec(&self, id: &str, is_draining: bool) -> ServerSpec {
         ServerSpec {
             id: id.to_owned(),
             service: self.service.to_owned(),
             address: self.proxy.address,
             failure_domain: layout::domain(self.number),
             slots: SLOTS,
-            is_leaving,
+            is_draining,
         }
     }
 }
--- a/crates/reedsail_soak/src/layout.rs
+++ b/crates/reedsail_soak/src/layout.rs
@@ -15,7 +15,7 @@
 /// How long the router holds a request at most.
 pub(crate) const TIMEOUT_MS: u64 = 2_000;
 /// The goal of every route.
-const GOAL_MS: u64 = 800;
+const LATENCY_TARGET_MS: u64 = 800;
 /// The most servers that one attempt may go to.
 pub(crate) const ATTEMPTS_MAX: u32 = 3;
 /// When a planned stop ends at the latest.
@@ -121,7 +121,7 @@
     ConfigurationSpec {
         version,
         timeout_ms: TIMEOUT_MS,
-        goal_ms: GOAL_MS,
+        latency_target_ms: LATENCY_TARGET_MS,
         attempts: ATTEMPTS_MAX,
         routes,
         workspaces: vec![
