--- a/crates/reedsail_bundle/src/bundle.rs
+++ b/crates/reedsail_bundle/src/bundle.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use reedsail_core::Class;
-use reedsail_core::Digest;
+use reedsail_scheduling::Class;
+use reedsail_scheduling::Digest;
 
 /// One version of everything that operators decide.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/reedsail_bundle/src/codec.rs
+++ b/crates/reedsail_bundle/src/codec.rs
@@ -8,7 +8,7 @@
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
-use reedsail_core::Digest;
+use reedsail_scheduling::Digest;
 use sha2::Digest as _;
 use sha2::Sha256;
 use thiserror::Error;
--- a/crates/reedsail_bundle/src/follower.rs
+++ b/crates/reedsail_bundle/src/follower.rs
@@ -1,9 +1,9 @@
 //! Follows the bundle stream: checks each record, folds it, keeps the content in force.
 
-use reedsail_core::AcceptFold;
-use reedsail_core::AcceptedVersion;
-use reedsail_core::FoldVerdict;
-use reedsail_core::RolloutRecord;
+use reedsail_scheduling::AcceptFold;
+use reedsail_scheduling::AcceptedVersion;
+use reedsail_scheduling::FoldVerdict;
+use reedsail_scheduling::RolloutRecord;
 
 use crate::BundleRecord;
 use crate::RecordError;
--- a/crates/reedsail_bundle/src/read.rs
+++ b/crates/reedsail_bundle/src/read.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use reedsail_core::Class;
-use reedsail_core::Digest;
 use reedsail_core::NameHash;
 use reedsail_document::Fault;
 use reedsail_document::Mapping;
 use reedsail_document::Value;
 use reedsail_document::read_document;
+use reedsail_scheduling::Class;
+use reedsail_scheduling::Digest;
 
 use crate::Bundle;
 use crate::CallRule;
--- a/crates/reedsail_bundle/src/record.rs
+++ b/crates/reedsail_bundle/src/record.rs
@@ -1,7 +1,7 @@
 //! The records of the bundle stream: signed proposals, and checkpoints that repeat them.
 
-use reedsail_core::Digest;
-use reedsail_core::RolloutRecord;
+use reedsail_scheduling::Digest;
+use reedsail_scheduling::RolloutRecord;
 use serde::Deserialize;
 use serde::Serialize;
 use thiserror::Error;
--- a/crates/reedsail_bundle/tests/bundles.rs
+++ b/crates/reedsail_bundle/tests/bundles.rs
@@ -15,8 +15,8 @@
 use reedsail_bundle::TrustedKeys;
 use reedsail_bundle::diff_bundles;
 use reedsail_bundle::read_bundle;
-use reedsail_core::FoldVerdict;
 use reedsail_document::render_faults;
+use reedsail_scheduling::FoldVerdict;
 
 const GOOD: &str = include_str!("good_bundle.yaml");
 const BAD: &str = include_str!("bad_bundle.yaml");
--- a/crates/reedsail_daemon/src/admin.rs
+++ b/crates/reedsail_daemon/src/admin.rs
@@ -13,8 +13,8 @@
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderValue;
 use hyper::server::conn::http1;
-use reedsail_core::SharePolicy;
 use reedsail_net::serve_pages;
+use reedsail_scheduling::SharePolicy;
 use tokio::net::TcpListener;
 use xtra::Address;
 
--- a/crates/reedsail_daemon/src/claims/dispatcher.rs
+++ b/crates/reedsail_daemon/src/claims/dispatcher.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use reedsail_core::ClaimKey;
 use reedsail_core::NameHash;
-use reedsail_core::SharePolicy;
-use reedsail_core::rank_by_rendezvous;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::SharePolicy;
+use reedsail_scheduling::rank_by_rendezvous;
 use reedsail_wire::ClaimEnd;
 use reedsail_wire::ClaimRequest;
 use reedsail_wire::ClaimVerdict;
--- a/crates/reedsail_daemon/src/claims/writer.rs
+++ b/crates/reedsail_daemon/src/claims/writer.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use reedsail_core::ClaimFold;
-use reedsail_core::ClaimKey;
-use reedsail_core::ClaimState;
 use reedsail_platform::LogPage;
 use reedsail_platform::PlatformClient;
+use reedsail_scheduling::ClaimFold;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::ClaimState;
 use reedsail_wire::ClaimBatch;
 use reedsail_wire::ClaimEnd;
 use reedsail_wire::ClaimRequest;
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -2,17 +2,17 @@
 
 use std::sync::Arc;
 
-use reedsail_core::Allocator;
-use reedsail_core::AllocatorConfig;
 use reedsail_core::NameHash;
-use reedsail_core::ServerCapacity;
 use reedsail_core::ServiceKey;
-use reedsail_core::SharePolicy;
 use reedsail_core::TimeMs;
 use reedsail_events::EventKind;
 use reedsail_platform::InstanceKind;
 use reedsail_platform::InstanceList;
 use reedsail_platform::InstanceState;
+use reedsail_scheduling::Allocator;
+use reedsail_scheduling::AllocatorConfig;
+use reedsail_scheduling::ServerCapacity;
+use reedsail_scheduling::SharePolicy;
 
 use super::Control;
 
--- a/crates/reedsail_daemon/src/control/exchange.rs
+++ b/crates/reedsail_daemon/src/control/exchange.rs
@@ -2,16 +2,16 @@
 
 use std::collections::HashMap;
 
-use reedsail_core::Allocator;
 use reedsail_core::NameHash;
-use reedsail_core::Presence;
-use reedsail_core::ServiceGrant;
 use reedsail_core::ServiceKey;
-use reedsail_core::ServiceReport;
-use reedsail_core::SharePolicy;
 use reedsail_core::TimeMs;
-use reedsail_core::rank_by_rendezvous;
 use reedsail_events::EventKind;
+use reedsail_scheduling::Allocator;
+use reedsail_scheduling::Presence;
+use reedsail_scheduling::ServiceGrant;
+use reedsail_scheduling::ServiceReport;
+use reedsail_scheduling::SharePolicy;
+use reedsail_scheduling::rank_by_rendezvous;
 use reedsail_wire::Grant;
 use reedsail_wire::Report;
 
--- a/crates/reedsail_daemon/src/control/links.rs
+++ b/crates/reedsail_daemon/src/control/links.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use reedsail_core::NameHash;
-use reedsail_core::SharePolicy;
 use reedsail_core::TimeMs;
 use reedsail_platform::PlatformClient;
+use reedsail_scheduling::SharePolicy;
 use reedsail_wire::ClaimEnd;
 use reedsail_wire::ClaimRequest;
 use reedsail_wire::ClaimVerdict;
--- a/crates/reedsail_daemon/src/control/peer_service.rs
+++ b/crates/reedsail_daemon/src/control/peer_service.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use reedsail_core::Directory;
-use reedsail_core::SharePolicy;
+use reedsail_scheduling::SharePolicy;
 use reedsail_wire::ClaimEnd;
 use reedsail_wire::ClaimRequest;
 use reedsail_wire::ClaimVerdict;
--- a/crates/reedsail_daemon/src/control/platform_tasks.rs
+++ b/crates/reedsail_daemon/src/control/platform_tasks.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use reedsail_core::SharePolicy;
 use reedsail_platform::PlatformClient;
+use reedsail_scheduling::SharePolicy;
 use tokio::time::sleep;
 use xtra::Address;
 
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -6,15 +6,15 @@
 use reedsail_bundle::Followed;
 use reedsail_bundle::read_bundle;
 use reedsail_core::Directory;
-use reedsail_core::FoldVerdict;
 use reedsail_core::NameHash;
-use reedsail_core::SharePolicy;
 use reedsail_core::TimeMs;
-use reedsail_core::rank_by_rendezvous;
 use reedsail_document::render_faults;
 use reedsail_events::EventKind;
 use reedsail_net::Clock;
 use reedsail_platform::LogPage;
+use reedsail_scheduling::FoldVerdict;
+use reedsail_scheduling::SharePolicy;
+use reedsail_scheduling::rank_by_rendezvous;
 
 use super::Control;
 use super::links::LinkAction;
--- a/crates/reedsail_daemon/src/service_cell.rs
+++ b/crates/reedsail_daemon/src/service_cell.rs
@@ -5,18 +5,18 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-use reedsail_core::Dispatch;
 use reedsail_core::ErrorKind;
-use reedsail_core::RetryBudget;
-use reedsail_core::Running;
-use reedsail_core::Scheduler;
 use reedsail_core::ServerKey;
-use reedsail_core::ServerSetup;
-use reedsail_core::SharePolicy;
-use reedsail_core::Ticket;
-use reedsail_core::Waiting;
-use reedsail_core::WorkspaceTable;
 use reedsail_net::Clock;
+use reedsail_scheduling::Dispatch;
+use reedsail_scheduling::RetryBudget;
+use reedsail_scheduling::Running;
+use reedsail_scheduling::Scheduler;
+use reedsail_scheduling::ServerSetup;
+use reedsail_scheduling::SharePolicy;
+use reedsail_scheduling::Ticket;
+use reedsail_scheduling::Waiting;
+use reedsail_scheduling::WorkspaceTable;
 use tokio::sync::oneshot;
 
 /// Wakes a queued request with its slot, or with the kind of its refusal.
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -12,13 +12,13 @@
 use hyper::body::Incoming;
 use reedsail_bundle::KeyRule;
 use reedsail_bundle::Repeat;
-use reedsail_core::ClaimKey;
-use reedsail_core::Class;
 use reedsail_core::ErrorKind;
-use reedsail_core::SharePolicy;
 use reedsail_core::TimeMs;
 use reedsail_core::WorkspaceKey;
 use reedsail_net::Clock;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::Class;
+use reedsail_scheduling::SharePolicy;
 use uuid::Uuid;
 
 use super::chat::ChatHead;
--- a/crates/reedsail_daemon/src/traffic/claim.rs
+++ b/crates/reedsail_daemon/src/traffic/claim.rs
@@ -1,12 +1,12 @@
 //! Claims a call's key before it runs, and records its end.
 
-use reedsail_core::ClaimKey;
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
-use reedsail_core::Nonce;
-use reedsail_core::SharePolicy;
 use reedsail_core::Unsent;
 use reedsail_events::EventKind;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::Nonce;
+use reedsail_scheduling::SharePolicy;
 use reedsail_wire::ClaimEnd;
 use reedsail_wire::ClaimRequest;
 use reedsail_wire::ClaimVerdict;
--- a/crates/reedsail_daemon/src/traffic/headers.rs
+++ b/crates/reedsail_daemon/src/traffic/headers.rs
@@ -4,9 +4,9 @@
 use hyper::header::AUTHORIZATION;
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
-use reedsail_core::Class;
-use reedsail_core::Digest;
 use reedsail_core::ErrorKind;
+use reedsail_scheduling::Class;
+use reedsail_scheduling::Digest;
 use sha2::Digest as _;
 use sha2::Sha256;
 
--- a/crates/reedsail_daemon/src/traffic/queueing.rs
+++ b/crates/reedsail_daemon/src/traffic/queueing.rs
@@ -1,9 +1,9 @@
 //! Waits for a slot.
 
 use reedsail_core::ErrorKind;
-use reedsail_core::SharePolicy;
 use reedsail_core::TimeMs;
-use reedsail_core::Waiting;
+use reedsail_scheduling::SharePolicy;
+use reedsail_scheduling::Waiting;
 use tokio::sync::oneshot;
 
 use super::call::Call;
--- a/crates/reedsail_daemon/src/traffic/relay.rs
+++ b/crates/reedsail_daemon/src/traffic/relay.rs
@@ -17,7 +17,7 @@
 use reedsail_core::ErrorKind;
 use reedsail_core::Sent;
 use reedsail_core::ServerKey;
-use reedsail_core::SharePolicy;
+use reedsail_scheduling::SharePolicy;
 use tokio::time::timeout;
 
 use super::Pool;
--- a/crates/reedsail_daemon/src/traffic/serve.rs
+++ b/crates/reedsail_daemon/src/traffic/serve.rs
@@ -12,9 +12,9 @@
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
 use reedsail_core::RanState;
-use reedsail_core::SharePolicy;
 use reedsail_core::Unsent;
 use reedsail_events::EventKind;
+use reedsail_scheduling::SharePolicy;
 
 use super::Pool;
 use super::answer::AnswerBody;
--- a/crates/reedsail_daemon/src/traffic/stream.rs
+++ b/crates/reedsail_daemon/src/traffic/stream.rs
@@ -12,10 +12,10 @@
 use hyper::body::Incoming;
 use reedsail_bundle::CostUnit;
 use reedsail_core::ServerKey;
-use reedsail_core::SharePolicy;
 use reedsail_core::Unsent;
 use reedsail_events::EventKind;
 use reedsail_net::EventSplitter;
+use reedsail_scheduling::SharePolicy;
 use tokio::time::timeout;
 
 use super::Pool;
--- a/crates/reedsail_daemon/src/traffic/thread.rs
+++ b/crates/reedsail_daemon/src/traffic/thread.rs
@@ -6,7 +6,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use hyper_util::rt::TokioTimer;
-use reedsail_core::SharePolicy;
+use reedsail_scheduling::SharePolicy;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
--- a/crates/reedsail_daemon/src/view.rs
+++ b/crates/reedsail_daemon/src/view.rs
@@ -8,17 +8,17 @@
 use reedsail_bundle::Service;
 use reedsail_bundle::ServiceKind;
 use reedsail_bundle::Workspace;
-use reedsail_core::Digest;
 use reedsail_core::Directory;
-use reedsail_core::QueueLimits;
 use reedsail_core::ServerKey;
-use reedsail_core::ServerSetup;
 use reedsail_core::ServiceKey;
-use reedsail_core::SharePolicy;
 use reedsail_core::TableKey;
 use reedsail_core::WorkspaceKey;
-use reedsail_core::WorkspaceSetup;
-use reedsail_core::WorkspaceTable;
+use reedsail_scheduling::Digest;
+use reedsail_scheduling::QueueLimits;
+use reedsail_scheduling::ServerSetup;
+use reedsail_scheduling::SharePolicy;
+use reedsail_scheduling::WorkspaceSetup;
+use reedsail_scheduling::WorkspaceTable;
 
 use crate::service_cell::ServiceCell;
 
--- a/crates/reedsail_scheduling/src/affinity.rs
+++ b/crates/reedsail_scheduling/src/affinity.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use crate::ServerKey;
-use crate::TimeMs;
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
 
 /// The most prefixes that are remembered; the oldest go first.
 const PREFIXES_MAX: usize = 4_096;
--- a/crates/reedsail_scheduling/src/allocator/domain.rs
+++ b/crates/reedsail_scheduling/src/allocator/domain.rs
@@ -3,16 +3,17 @@
 
 use std::collections::HashMap;
 
+use reedsail_core::NameHash;
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use super::Allocator;
 use crate::DemandRow;
 use crate::MemberKind;
-use crate::NameHash;
-use crate::ServerKey;
 use crate::ServiceGrant;
 use crate::ServiceReport;
 use crate::SlotRow;
-use crate::TimeMs;
-use crate::WorkspaceKey;
 
 /// What this allocator told, and borrowed from, the allocator of another domain.
 #[derive(Debug, Default)]
--- a/crates/reedsail_scheduling/src/allocator/member.rs
+++ b/crates/reedsail_scheduling/src/allocator/member.rs
@@ -2,11 +2,12 @@
 
 use std::collections::HashMap;
 
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use crate::MemberKind;
-use crate::ServerKey;
 use crate::ServiceReport;
-use crate::TimeMs;
-use crate::WorkspaceKey;
 
 /// A workspace's demand at one member.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/reedsail_scheduling/src/allocator/mod.rs
+++ b/crates/reedsail_scheduling/src/allocator/mod.rs
@@ -12,14 +12,15 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use reedsail_core::NameHash;
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use crate::MemberKind;
-use crate::NameHash;
-use crate::ServerKey;
 use crate::ServiceGrant;
 use crate::ServiceReport;
-use crate::TimeMs;
 use crate::VirtualTimeRow;
-use crate::WorkspaceKey;
 use crate::WorkspaceTable;
 use domain::DomainLink;
 use member::Member;
--- a/crates/reedsail_scheduling/src/allocator/slots.rs
+++ b/crates/reedsail_scheduling/src/allocator/slots.rs
@@ -3,11 +3,12 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
+use reedsail_core::NameHash;
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+
 use super::Allocator;
 use crate::LeaseRow;
-use crate::NameHash;
-use crate::ServerKey;
-use crate::TimeMs;
 
 impl Allocator {
     /// Leases the member its target: first takes back from servers that are over-committed, then
--- a/crates/reedsail_scheduling/src/allocator/targets.rs
+++ b/crates/reedsail_scheduling/src/allocator/targets.rs
@@ -2,14 +2,15 @@
 
 use std::collections::HashMap;
 
+use reedsail_core::NameHash;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use super::Allocator;
 use super::TARGETS_AGE_MAX_MS;
 use super::member::Member;
 use super::member::MemberDemand;
-use crate::NameHash;
 use crate::ShareDemand;
-use crate::TimeMs;
-use crate::WorkspaceKey;
 use crate::share_slots;
 
 /// A workspace that gets all but this much of a slot has what it wants.
--- a/crates/reedsail_scheduling/src/fair_queue.rs
+++ b/crates/reedsail_scheduling/src/fair_queue.rs
@@ -4,12 +4,13 @@
 
 use std::sync::Arc;
 
-use crate::ErrorKind;
+use reedsail_core::ErrorKind;
+use reedsail_core::TableKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use crate::SharePolicy;
-use crate::TimeMs;
-use crate::WorkspaceKey;
 use crate::WorkspaceTable;
-use crate::key::TableKey;
 
 pub(crate) use workspace_queue::WorkspaceQueue;
 
--- a/crates/reedsail_scheduling/src/health.rs
+++ b/crates/reedsail_scheduling/src/health.rs
@@ -1,6 +1,6 @@
 //! A backend server's health, judged by the outcome of the requests sent to it.
 
-use crate::TimeMs;
+use reedsail_core::TimeMs;
 
 /// So many failures in a row take a server out of use.
 const FAILURES_TO_REST: u32 = 3;
--- /dev/null
+++ b/crates/reedsail_scheduling/src/lib.rs
@@ -0,0 +1,76 @@
+//! The decisions of `reedsaild`: which workspace's request runs next, on whose slots, and what the log's
+//! records come to. The router's decisions are in `reedsail_dispatch`.
+//!
+//! Pure: each function takes state, an event and the present moment, and returns what is to be done. The
+//! daemon, the tests and the replay drive this same code.
+//!
+//! | modules | decide |
+//! |---|---|
+//! | `fair_queue`, `scheduler`, `preemption`, `share` | which request of which workspace runs next |
+//! | `allocator`, `slot_lease`, `membership`, `pacer` | how the fleet's slots are leased to instances |
+//! | `accept_fold`, `claim_fold` | which bundle is in force, who may run a keyed call |
+//! | `affinity`, `health`, `rate_limit`, `retry_budget` | bounds and hints for one instance |
+
+mod accept_fold;
+mod affinity;
+mod allocator;
+mod claim_fold;
+mod fair_queue;
+mod health;
+mod membership;
+mod pacer;
+mod policy;
+mod preemption;
+mod rate_limit;
+mod retry_budget;
+mod scheduler;
+mod share;
+mod slot_lease;
+mod workspace_table;
+
+pub use accept_fold::AcceptFold;
+pub use accept_fold::AcceptedVersion;
+pub use accept_fold::Digest;
+pub use accept_fold::FoldVerdict;
+pub use accept_fold::RolloutRecord;
+pub use affinity::AffinityTable;
+pub use allocator::Allocator;
+pub use allocator::AllocatorConfig;
+pub use allocator::ServerCapacity;
+pub use claim_fold::ClaimFold;
+pub use claim_fold::ClaimKey;
+pub use claim_fold::ClaimRecord;
+pub use claim_fold::ClaimState;
+pub use claim_fold::Nonce;
+pub use fair_queue::Class;
+pub use fair_queue::FairQueue;
+pub use fair_queue::QueueLimits;
+pub use fair_queue::Ticket;
+pub use fair_queue::Waiting;
+pub use health::ServerHealth;
+pub use membership::Membership;
+pub use membership::Presence;
+pub use membership::rank_by_rendezvous;
+pub use pacer::BytePacer;
+pub use policy::FifoPolicy;
+pub use policy::FleetPolicy;
+pub use policy::SharePolicy;
+pub use policy::SplitPolicy;
+pub use preemption::PreemptFlag;
+pub use rate_limit::RateLimit;
+pub use retry_budget::RetryBudget;
+pub use scheduler::Dispatch;
+pub use scheduler::Running;
+pub use scheduler::Scheduler;
+pub use scheduler::ServerSetup;
+pub use share::ShareDemand;
+pub use share::share_slots;
+pub use slot_lease::DemandRow;
+pub use slot_lease::LeaseRow;
+pub use slot_lease::MemberKind;
+pub use slot_lease::ServiceGrant;
+pub use slot_lease::ServiceReport;
+pub use slot_lease::SlotRow;
+pub use slot_lease::VirtualTimeRow;
+pub use workspace_table::WorkspaceSetup;
+pub use workspace_table::WorkspaceTable;
--- a/crates/reedsail_scheduling/src/membership.rs
+++ b/crates/reedsail_scheduling/src/membership.rs
@@ -2,11 +2,10 @@
 
 use std::collections::HashMap;
 
+use reedsail_core::NameHash;
+use reedsail_core::TimeMs;
 use twox_hash::XxHash64;
 
-use crate::NameHash;
-use crate::TimeMs;
-
 /// A daemon that failed to answer is left out for this long at first, unless it is heard from.
 const SUSPECT_FIRST_MS: u64 = 3_000;
 /// The longest time for which it is left out; each failure in a row doubles it up to here.
--- a/crates/reedsail_scheduling/src/pacer.rs
+++ b/crates/reedsail_scheduling/src/pacer.rs
@@ -1,6 +1,6 @@
 //! Paces control messages so that a daemon keeps within its bytes a second.
 
-use crate::TimeMs;
+use reedsail_core::TimeMs;
 
 /// The shortest interval between two reports of one member.
 const INTERVAL_MIN_MS: u64 = 500;
--- a/crates/reedsail_scheduling/src/policy.rs
+++ b/crates/reedsail_scheduling/src/policy.rs
@@ -1,7 +1,8 @@
 //! How a daemon orders waiting work, and whether its slots are leased or fixed.
 
+use reedsail_core::TimeMs;
+
 use crate::Class;
-use crate::TimeMs;
 
 /// A way of sharing the backend servers; chosen at start-up, generic so that no call is indirect.
 pub trait SharePolicy: Clone + Send + Sync + 'static {
--- a/crates/reedsail_scheduling/src/preemption.rs
+++ b/crates/reedsail_scheduling/src/preemption.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-use crate::ServerKey;
-use crate::TimeMs;
-use crate::WorkspaceKey;
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
 
 /// A request is left alone for so long after it got its slot.
 const RUN_MIN_MS: u64 = 100;
--- a/crates/reedsail_scheduling/src/rate_limit.rs
+++ b/crates/reedsail_scheduling/src/rate_limit.rs
@@ -1,6 +1,6 @@
 //! A token bucket for a workspace's requests per second.
 
-use crate::TimeMs;
+use reedsail_core::TimeMs;
 
 /// Limits how often something may happen: `burst` at once, refilled at `per_s`.
 #[derive(Clone, Debug)]
--- a/crates/reedsail_scheduling/src/scheduler.rs
+++ b/crates/reedsail_scheduling/src/scheduler.rs
@@ -5,17 +5,18 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
+use reedsail_core::ErrorKind;
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use crate::AffinityTable;
-use crate::ErrorKind;
 use crate::FairQueue;
 use crate::PreemptFlag;
 use crate::ServerHealth;
-use crate::ServerKey;
 use crate::SharePolicy;
 use crate::Ticket;
-use crate::TimeMs;
 use crate::Waiting;
-use crate::WorkspaceKey;
 use crate::WorkspaceTable;
 use crate::preemption::RunEntry;
 use crate::preemption::ShareStanding;
--- a/crates/reedsail_scheduling/src/scheduler/leases.rs
+++ b/crates/reedsail_scheduling/src/scheduler/leases.rs
@@ -1,15 +1,16 @@
 //! What a daemon reports to the allocator, and what it takes over from it.
 
+use reedsail_core::ServerKey;
+use reedsail_core::TimeMs;
+use reedsail_core::WorkspaceKey;
+
 use crate::DemandRow;
 use crate::MemberKind;
 use crate::Scheduler;
-use crate::ServerKey;
 use crate::ServiceGrant;
 use crate::ServiceReport;
 use crate::SharePolicy;
 use crate::SlotRow;
-use crate::TimeMs;
-use crate::WorkspaceKey;
 
 use super::wrapping_cost;
 
--- a/crates/reedsail_scheduling/src/slot_lease.rs
+++ b/crates/reedsail_scheduling/src/slot_lease.rs
@@ -3,8 +3,8 @@
 //! A member is a daemon, or the allocator of another failure domain that borrows spare slots:
 //! both speak this same protocol.
 
-use crate::ServerKey;
-use crate::WorkspaceKey;
+use reedsail_core::ServerKey;
+use reedsail_core::WorkspaceKey;
 
 /// Who reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/reedsail_scheduling/src/workspace_table.rs
+++ b/crates/reedsail_scheduling/src/workspace_table.rs
@@ -1,8 +1,9 @@
 //! The weights and limits of every workspace: one table for all services and allocators.
 
+use reedsail_core::TableKey;
+use reedsail_core::WorkspaceKey;
+
 use crate::QueueLimits;
-use crate::TableKey;
-use crate::WorkspaceKey;
 
 /// A workspace as the bundle in force describes it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/reedsail_scheduling/tests/allocator.rs
+++ b/crates/reedsail_scheduling/tests/allocator.rs
@@ -1,17 +1,17 @@
 //! One allocator: what it leases, what it recovers, what it lends.
 
-use reedsail_core::Allocator;
-use reedsail_core::AllocatorConfig;
-use reedsail_core::DemandRow;
-use reedsail_core::MemberKind;
 use reedsail_core::NameHash;
-use reedsail_core::ServerCapacity;
 use reedsail_core::ServerKey;
-use reedsail_core::ServiceGrant;
-use reedsail_core::ServiceReport;
-use reedsail_core::SlotRow;
 use reedsail_core::TimeMs;
 use reedsail_core::WorkspaceKey;
+use reedsail_scheduling::Allocator;
+use reedsail_scheduling::AllocatorConfig;
+use reedsail_scheduling::DemandRow;
+use reedsail_scheduling::MemberKind;
+use reedsail_scheduling::ServerCapacity;
+use reedsail_scheduling::ServiceGrant;
+use reedsail_scheduling::ServiceReport;
+use reedsail_scheduling::SlotRow;
 
 const START: TimeMs = TimeMs(1_000);
 
--- a/crates/reedsail_scheduling/tests/folds_exhaustive.rs
+++ b/crates/reedsail_scheduling/tests/folds_exhaustive.rs
@@ -3,15 +3,15 @@
 
 use std::collections::VecDeque;
 
-use reedsail_core::AcceptFold;
-use reedsail_core::AcceptedVersion;
-use reedsail_core::ClaimFold;
-use reedsail_core::ClaimKey;
-use reedsail_core::ClaimRecord;
-use reedsail_core::ClaimState;
-use reedsail_core::Digest;
-use reedsail_core::Nonce;
-use reedsail_core::RolloutRecord;
+use reedsail_scheduling::AcceptFold;
+use reedsail_scheduling::AcceptedVersion;
+use reedsail_scheduling::ClaimFold;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::ClaimRecord;
+use reedsail_scheduling::ClaimState;
+use reedsail_scheduling::Digest;
+use reedsail_scheduling::Nonce;
+use reedsail_scheduling::RolloutRecord;
 
 /// The length of the bundle histories; every shorter one is a beginning of these.
 const BUNDLE_STEPS: usize = 7;
--- a/crates/reedsail_wire/src/claim_rows.rs
+++ b/crates/reedsail_wire/src/claim_rows.rs
@@ -4,9 +4,9 @@
 use capnp::message::Builder;
 use capnp::serialize;
 use capnp::struct_list;
-use reedsail_core::ClaimKey;
-use reedsail_core::ClaimRecord;
-use reedsail_core::Nonce;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::ClaimRecord;
+use reedsail_scheduling::Nonce;
 
 use crate::ClaimEnd;
 use crate::ClaimRequest;
--- a/crates/reedsail_wire/src/grant.rs
+++ b/crates/reedsail_wire/src/grant.rs
@@ -2,10 +2,10 @@
 
 use capnp::Error;
 use reedsail_core::Directory;
-use reedsail_core::LeaseRow;
 use reedsail_core::NameHash;
-use reedsail_core::ServiceGrant;
-use reedsail_core::VirtualTimeRow;
+use reedsail_scheduling::LeaseRow;
+use reedsail_scheduling::ServiceGrant;
+use reedsail_scheduling::VirtualTimeRow;
 
 use crate::Grant;
 use crate::message::ROWS_MAX;
--- a/crates/reedsail_wire/src/message.rs
+++ b/crates/reedsail_wire/src/message.rs
@@ -1,12 +1,12 @@
 //! The messages as the rest of the program sees them, and how far a peer is trusted in them.
 
 use capnp::Error;
-use reedsail_core::ClaimKey;
 use reedsail_core::NameHash;
-use reedsail_core::Nonce;
-use reedsail_core::ServiceGrant;
 use reedsail_core::ServiceKey;
-use reedsail_core::ServiceReport;
+use reedsail_scheduling::ClaimKey;
+use reedsail_scheduling::Nonce;
+use reedsail_scheduling::ServiceGrant;
+use reedsail_scheduling::ServiceReport;
 
 /// The most rows of one kind that a message may carry.
 pub(crate) const ROWS_MAX: u32 = 16_384;
--- a/crates/reedsail_wire/src/report.rs
+++ b/crates/reedsail_wire/src/report.rs
@@ -1,12 +1,12 @@
 //! Writes and reads reports.
 
 use capnp::Error;
-use reedsail_core::DemandRow;
 use reedsail_core::Directory;
-use reedsail_core::MemberKind;
 use reedsail_core::NameHash;
-use reedsail_core::ServiceReport;
-use reedsail_core::SlotRow;
+use reedsail_scheduling::DemandRow;
+use reedsail_scheduling::MemberKind;
+use reedsail_scheduling::ServiceReport;
+use reedsail_scheduling::SlotRow;
 
 use crate::Report;
 use crate::message::ROWS_MAX;
