--- /dev/null
+++ b/crates/reedsail_dispatch/tests/plain_services.rs
@@ -0,0 +1,61 @@
+//! Services without prompts, whose expected times are learned from their answers alone.
+
+use reedsail_core::NameHash;
+use reedsail_core::TimeMs;
+use reedsail_dispatch::AttemptOutcome;
+use reedsail_dispatch::Decision;
+use reedsail_dispatch::Demand;
+use reedsail_dispatch::DispatchSettings;
+use reedsail_dispatch::Dispatcher;
+use reedsail_dispatch::ServerSetup;
+
+const START: TimeMs = TimeMs(10_000);
+
+fn demand() -> Demand<'static> {
+    Demand {
+        service: NameHash::of("app"),
+        workspace: NameHash::of("labska"),
+        prompt: None,
+        latency_target_ms: 800,
+        waited_ms: 0,
+        tried: &[],
+    }
+}
+
+fn dispatcher() -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall-a"));
+    dispatcher.set_servers(&[ServerSetup {
+        name: NameHash::of("app-1"),
+        service: NameHash::of("app"),
+        failure_domain: NameHash::of("hall-a"),
+        slots: 4,
+        is_draining: false,
+    }]);
+    dispatcher
+}
+
+/// Has a server answer each request after `took_ms`, until one is refused; returns when that was.
+fn answer_until_refused(dispatcher: &mut Dispatcher, took_ms: u64) -> TimeMs {
+    let mut now = START;
+    for _ in 0..100 {
+        let Decision::Send(placement) = dispatcher.decide(&demand(), now) else {
+            return now;
+        };
+        let mut attempt = dispatcher.begin_attempt(&demand(), &placement, now);
+        now = now.plus_ms(took_ms);
+        dispatcher.record_first_event(&mut attempt, now);
+        dispatcher.finish_attempt(attempt, AttemptOutcome::Answered, now);
+    }
+    panic!("no request is refused");
+}
+
+#[test]
+#[ignore = "known to fail: KNOWN-RED.txt"]
+fn a_plain_service_that_was_slow_gets_requests_again_once_it_is_idle() {
+    let mut dispatcher = dispatcher();
+    let refused_at = answer_until_refused(&mut dispatcher, 3_000);
+    let later = refused_at.plus_ms(60_000);
+    dispatcher.tick(later);
+    let decision = dispatcher.decide(&demand(), later);
+    assert!(matches!(decision, Decision::Send(_)), "{decision:?}");
+}
