--- a/crates/reedsail_daemon/src/claims/writer.rs
+++ b/crates/reedsail_daemon/src/claims/writer.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use reedsail_platform::LogPage;
-use reedsail_platform::PlatformClient;
+use reedsail_log_client::LogPage;
+use reedsail_log_client::PlatformClient;
 use reedsail_scheduling::ClaimFold;
 use reedsail_scheduling::ClaimKey;
 use reedsail_scheduling::ClaimState;
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -6,9 +6,9 @@
 use reedsail_core::ServiceKey;
 use reedsail_core::TimeMs;
 use reedsail_events::EventKind;
-use reedsail_platform::InstanceKind;
-use reedsail_platform::InstanceList;
-use reedsail_platform::InstanceState;
+use reedsail_log_client::InstanceKind;
+use reedsail_log_client::InstanceList;
+use reedsail_log_client::InstanceState;
 use reedsail_scheduling::Allocator;
 use reedsail_scheduling::AllocatorConfig;
 use reedsail_scheduling::ServerCapacity;
@@ -195,7 +195,7 @@
                 if self.servers_leaving.insert(server) {
                     self.shared
                         .events
-                        .emit(EventKind::ServerLeaving, &[("server", name)]);
+                        .emit(EventKind::ServerDraining, &[("server", name)]);
                 }
             }
         }
--- a/crates/reedsail_daemon/src/control/exchange.rs
+++ b/crates/reedsail_daemon/src/control/exchange.rs
@@ -332,7 +332,7 @@
     fn emit_heard(&mut self, peer: NameHash) {
         self.forget_errands();
         let name = self.membership.name(peer).unwrap_or("unknown");
-        self.shared.events.emit(EventKind::PeerHeard, &[("peer", name)]);
+        self.shared.events.emit(EventKind::PeerAlive, &[("peer", name)]);
     }
 
     /// Returns with how many peers a report is exchanged in each round, in either direction.
--- a/crates/reedsail_daemon/src/control/links.rs
+++ b/crates/reedsail_daemon/src/control/links.rs
@@ -9,7 +9,7 @@
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
-use reedsail_platform::PlatformClient;
+use reedsail_log_client::PlatformClient;
 use reedsail_scheduling::SharePolicy;
 use reedsail_wire::ClaimEnd;
 use reedsail_wire::ClaimRequest;
--- a/crates/reedsail_daemon/src/control/platform_tasks.rs
+++ b/crates/reedsail_daemon/src/control/platform_tasks.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use reedsail_platform::PlatformClient;
+use reedsail_log_client::PlatformClient;
 use reedsail_scheduling::SharePolicy;
 use tokio::time::sleep;
 use xtra::Address;
--- a/crates/reedsail_daemon/src/control/thread.rs
+++ b/crates/reedsail_daemon/src/control/thread.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use reedsail_log_client::PlatformClient;
 use reedsail_net::ByteCounter;
-use reedsail_platform::PlatformClient;
 use reedsail_scheduling::SharePolicy;
 use reedsail_wire::serve_peers;
 use tokio::net::TcpListener;
--- a/crates/reedsail_daemon/src/metrics.rs
+++ b/crates/reedsail_daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics; docs/METRICS.md describes each.
+//! The daemon's metrics; docs/reedsaild/METRICS.md describes each.
 //!
 //! Labels are bounded: error kinds, classes and kinds of traffic are closed lists, and of the
 //! workspaces only those with work or cost since the last scrape are shown, the largest first.
--- a/crates/reedsail_platform/src/lib.rs
+++ b/crates/reedsail_log_client/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's two services as a client sees them: the append-only log and the instance list.
 //!
-//! docs/PLATFORM.md describes the protocol.
+//! docs/reedsaild/PROTOCOLS.md describes the protocol.
 
 mod client;
 mod message;
--- a/crates/reedsail_standin/src/platform.rs
+++ b/crates/reedsail_standin/src/platform.rs
@@ -19,9 +19,9 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use reedsail_platform::Appended;
-use reedsail_platform::Instance;
-use reedsail_platform::InstanceList;
+use reedsail_log_client::Appended;
+use reedsail_log_client::Instance;
+use reedsail_log_client::InstanceList;
 use tokio::sync::Notify;
 use tokio::time::sleep;
 use tokio::time::timeout;
@@ -234,7 +234,7 @@
         Some((self.log.append(stream, data, unix_ms()), lost))
     }
 
-    fn read(&mut self, stream: &str, from: u64) -> (bool, reedsail_platform::LogPage) {
+    fn read(&mut self, stream: &str, from: u64) -> (bool, reedsail_log_client::LogPage) {
         let kept_from = unix_ms().saturating_sub(self.config.retention_ms);
         self.log.drop_before(kept_from);
         let page = self.log.read(stream, from);
--- a/crates/reedsail_standin/src/platform_log.rs
+++ b/crates/reedsail_standin/src/platform_log.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-use reedsail_platform::LogPage;
-use reedsail_platform::LogRecord;
+use reedsail_log_client::LogPage;
+use reedsail_log_client::LogRecord;
 
 /// The most records of one answer.
 const PAGE_RECORDS_MAX: usize = 1_000;
