--- a/crates/reedsail_core/src/error_kind.rs
+++ b/crates/reedsail_core/src/error_kind.rs
@@ -124,7 +124,7 @@
     WouldMissDeadline = "would_miss_deadline", 429, NotRun, Some(2_000),
         "the predicted wait passes the request's deadline; retry later or allow more time";
     /// The answer would begin later than the route's goal.
-    WouldMissGoal = "would_miss_goal", 429, NotRun, Some(300),
+    WouldMissTarget = "would_miss_goal", 429, NotRun, Some(300),
         "the backend servers are busy and the answer would begin too late; come back when told";
     /// The workspace has had its share while others want more.
     OverShare = "over_share", 429, NotRun, Some(300),
--- a/crates/reedsail_dispatch/src/admission.rs
+++ b/crates/reedsail_dispatch/src/admission.rs
@@ -66,7 +66,7 @@
         kind: if is_behind_others {
             ErrorKind::OverShare
         } else {
-            ErrorKind::WouldMissGoal
+            ErrorKind::WouldMissTarget
         },
         retry_after_ms: retry_after_ms(demand.latency_target_ms, excess_ms.max(queue_excess_ms)),
         expected_ms: Some(placement.expected_ms),
--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -95,6 +95,7 @@
             servers: &self.servers,
             prefixes: &self.prefixes,
             own_domain: self.own_domain,
+            // A request without a prompt needs no rate.
             prefill_rate: prefill_rate.unwrap_or_default(),
             now,
         };
--- a/crates/reedsail_dispatch/src/prefix_memory.rs
+++ b/crates/reedsail_dispatch/src/prefix_memory.rs
@@ -1,7 +1,7 @@
 //! Prefix memory: which backend servers were recently sent which prompt segments, by any instance.
 //!
 //! A hint, never a truth: a server may have dropped a segment for want of memory, which costs reading
-//! it again. Owns the segments that peers are still to be told of. Relies on the caller to record what
+//! it again. Owns the segments that the next reports are to name. Relies on the caller to record what
 //! is sent and what peers report.
 //!
 //! Tested by `tests/placement.rs` and `tests/decision_trace.rs`.
@@ -20,7 +20,7 @@
 /// How long a server is taken to have a segment cached that nobody used since, in milliseconds. Trials
 /// at 10 and 40 s: docs/DECISIONS.md.
 const CACHED_MS: u64 = 20_000;
-/// How often peers are told again of a segment in use, in milliseconds. Chosen, not measured.
+/// Interval at which a segment in use is reported to peers again, in milliseconds. Chosen, not measured.
 const REPORT_AGAIN_MS: u64 = 5_000;
 /// Reports that a row stands in, since a report may be lost.
 const REPORTS_PER_ROW: u8 = 2;
@@ -36,7 +36,7 @@
 struct Use {
     server: ServerKey,
     used_at: TimeMs,
-    /// When peers were last told of it; zero for never.
+    /// When it was last reported to peers; zero for never.
     reported_at: TimeMs,
 }
 
--- a/crates/reedsail_dispatch/src/retry.rs
+++ b/crates/reedsail_dispatch/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retry: whether a request may be attempted again, and whether the retry budget has room.
 //!
-//! **Rule.** An attempt that was never sent is free to be repeated. One that the server rejected
-//! without running it costs a retry of the budget. One that may have run is repeated only on a
+//! **Rule.** An attempt that was never sent is free to be made again. One that the server rejected
+//! without running it costs a retry of the budget. One that may have run is retried only on a
 //! repeatable route, up to the route's attempts, within the budget. A stream that broke goes on
 //! elsewhere only on a resumable route, up to as many servers as the route has attempts, within the
 //! budget. The budget of a service on one instance is a fraction of its requests over a sliding window,
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -141,13 +141,13 @@
         for row in rows {
             let Some(key) = self.key(row.server) else { continue };
             let load = &mut self.get_mut(key).peers;
-            let (running, unread) = (u32::from(row.running), u64::from(row.prefill_tokens));
+            let (running, prefill) = (u32::from(row.running), u64::from(row.prefill_tokens));
             if add {
                 load.running += running;
-                load.prefill_tokens += unread;
+                load.prefill_tokens += prefill;
             } else {
                 load.running = load.running.saturating_sub(running);
-                load.prefill_tokens = load.prefill_tokens.saturating_sub(unread);
+                load.prefill_tokens = load.prefill_tokens.saturating_sub(prefill);
             }
         }
     }
--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -1,7 +1,7 @@
 //! Store reader: which instance of a failure domain reads the platform's store.
 //!
-//! **Rule.** The instance with the smallest name hash among those of its failure domain that were heard
-//! recently and are not stopping reads the store; the others learn from its load messages. An instance
+//! **Rule.** The instance with the smallest name hash among those of its failure domain that sent a
+//! load message recently and are not stopping reads the store; the others learn from its load messages. An instance
 //! whose own knowledge is older than [`SERVERS_STALE_MS`] or [`CONFIGURATION_STALE_MS`] reads the store
 //! itself, even if another one is the reader.
 //!
@@ -63,7 +63,7 @@
     pub instance: NameHash,
     /// Its failure domain.
     pub failure_domain: NameHash,
-    /// How long ago it was heard, in milliseconds.
+    /// How long ago its last message came, in milliseconds.
     pub silent_ms: u64,
     /// It is stopping.
     pub is_stopping: bool,
--- a/crates/reedsail_dispatch/tests/placement.rs
+++ b/crates/reedsail_dispatch/tests/placement.rs
@@ -168,7 +168,7 @@
                 retry_after_ms,
                 expected_ms,
             } => {
-                assert_eq!(kind, ErrorKind::WouldMissGoal);
+                assert_eq!(kind, ErrorKind::WouldMissTarget);
                 assert!((100..GOAL_MS).contains(&retry_after_ms), "{retry_after_ms}");
                 assert!(expected_ms.is_some());
                 assert!(!runs.is_empty());
--- a/crates/reedsail_events/src/event_kind.rs
+++ b/crates/reedsail_events/src/event_kind.rs
@@ -50,8 +50,8 @@
     /// The settings were read again.
     SettingsReloaded = 105, "settings_reloaded", Info, "the settings file was read again; see what became of it";
 
-    /// Callers crowd the daemon.
-    DaemonCrowded = 106, "daemon_crowded", Warn, "processor or memory is not enough for more callers; the balancer is told not to send more, and some connections are closed";
+    /// The daemon sheds callers.
+    CallersShed = 106, "daemon_crowded", Warn, "processor or memory is not enough for more callers; the balancer is told not to send more, and some connections are closed";
 
     /// A bundle is in force.
     BundleInForce = 200, "bundle_in_force", Info, "a bundle version is in force on this daemon";
@@ -74,7 +74,7 @@
     /// A daemon no longer answers.
     PeerSuspected = 300, "peer_suspected", Warn, "a daemon did not answer; its duties pass to the next in rank";
     /// A daemon answers again.
-    PeerHeard = 301, "peer_heard", Info, "a daemon that was suspected answers again";
+    PeerAlive = 301, "peer_heard", Info, "a daemon that was suspected answers again";
     /// A daemon said that it is leaving.
     PeerLeaving = 302, "peer_leaving", Info, "a daemon is leaving and hands back its leases";
     /// This daemon has become allocator of a service.
@@ -86,7 +86,7 @@
     /// A backend server is left alone for a while.
     ServerResting = 306, "server_resting", Warn, "a backend server failed several requests in a row and is left alone for a while";
     /// A backend server is leaving.
-    ServerLeaving = 307, "server_leaving", Info, "a backend server is leaving and gets no new work";
+    ServerDraining = 307, "server_leaving", Info, "a backend server is leaving and gets no new work";
     /// A backend server was listed.
     ServerListed = 308, "server_listed", Info, "a backend server was listed and may get work";
     /// A backend server is no longer listed.
--- a/crates/reedsail_router/src/admin.rs
+++ b/crates/reedsail_router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The pages for the balancer, for metrics, and for peers that cannot read the store.
+//! The pages for the balancer, for metrics, and for peers that fetch what they do not know yet.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 /// Where metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Serves the pages on one listener until the daemon ends.
+/// Serves the pages on one listener until the instance ends.
 pub(crate) async fn serve_admin<H: HeaderProtocol>(
     listener: TcpListener,
     shared: Arc<Shared<H>>,
@@ -64,6 +64,7 @@
     } else if path == SERVERS_PATH {
         match control.send(ListServers).await {
             Ok(records) => json(&records),
+            // The actor ends only with the instance.
             Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE),
         }
     } else {
@@ -79,6 +80,7 @@
 }
 
 fn json(value: &impl Serialize) -> Response<Full<Bytes>> {
+    // No field of these pages can fail to be written; a fault of the code shows as a status.
     let Ok(text) = serde_json::to_vec(value) else {
         return plain(StatusCode::INTERNAL_SERVER_ERROR);
     };
--- a/crates/reedsail_router/src/configuration.rs
+++ b/crates/reedsail_router/src/configuration.rs
@@ -1,4 +1,7 @@
-//! What the operators have configured, in the product's own terms.
+//! The operators' configuration, in the project's own terms.
+//!
+//! The adapter decodes it once from the platform's record. Peers fetch it as JSON, so the names and the
+//! forms of the serialised fields stay as they are.
 
 use reedsail_dispatch::RetryPolicy;
 use serde::Deserialize;
@@ -53,12 +56,13 @@
     pub repetition: Repetition,
     /// How its answers come.
     pub answer: AnswerShape,
-    /// How long a request may be held.
+    /// Time-out of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Within which time an answer is worth its full value.
+    /// Latency target: time to the first event within which an answer is worth its full value, in
+    /// milliseconds. Peers know it as `goal_ms`.
     #[serde(rename = "goal_ms")]
     pub latency_target_ms: u64,
-    /// On how many servers one request may run.
+    /// Servers that one request may run on.
     pub attempts: u32,
     /// Its requests need no key.
     pub is_anonymous: bool,
@@ -84,12 +88,12 @@
     }
 }
 
-/// A service that gets a part of a route's requests.
+/// A service that gets a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTarget {
     /// The service.
     pub service: String,
-    /// Its part, beside the other targets' weights.
+    /// Its share, relative to the other targets' weights.
     pub weight: u32,
 }
 
@@ -98,9 +102,9 @@
 pub struct ServiceDefinition {
     /// Its name.
     pub name: String,
-    /// The most connections that one of its servers accepts from all callers.
+    /// Connections that one of its servers accepts at most, from all instances together.
     pub connections_max: u32,
-    /// Its servers are model engines, which keep prompts that they have read.
+    /// Its servers are model engines, which cache the prompts that they prefill.
     pub is_model: bool,
 }
 
@@ -116,15 +120,15 @@
 /// What callers may send, and what the engines give.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest head of a request.
+    /// Size of the head of a request at most, in bytes.
     pub header_bytes_max: usize,
-    /// The largest body of a request.
+    /// Size of the body of a request at most, in bytes.
     pub body_bytes_max: usize,
-    /// How long a head may take to arrive.
+    /// Time that a head may take to arrive, in milliseconds.
     pub header_ms: u64,
-    /// How long a connection may rest between requests.
+    /// Time that a connection may rest between requests, in milliseconds.
     pub idle_ms: u64,
-    /// What the engines together produce, in tokens a second, if that is known.
+    /// Tokens a second that all engines together produce, if the operators know it.
     pub engine_tokens_per_s: Option<f64>,
 }
 
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -35,7 +35,7 @@
 use super::messages::Tick;
 use super::peer_fetch::FETCH_INTERVAL_MS;
 use super::peer_fetch::PeerFetch;
-use super::peer_table::Heard;
+use super::peer_table::Arrival;
 use super::peer_table::PeerTable;
 use super::seeds::peer_addresses;
 use super::server_publication::publish_servers;
@@ -247,11 +247,11 @@
         let messages = &self.shared.metrics.peer_messages;
         messages.with_label_values(&["received"]).inc();
         match self.peers.receive(&message, received.from, now) {
-            Heard::Stale => return,
-            Heard::Again => {}
-            Heard::Anew => {
+            Arrival::Stale => return,
+            Arrival::FromAlive => {}
+            Arrival::FromNew => {
                 let fields = [("peer", received.from.to_string())];
-                self.shared.emit(EventKind::PeerHeard, &fields);
+                self.shared.emit(EventKind::PeerAlive, &fields);
                 // A peer that has just come learns of this instance at once.
                 self.next_message_at = now;
             }
--- a/crates/reedsail_router/src/control/follow.rs
+++ b/crates/reedsail_router/src/control/follow.rs
@@ -93,6 +93,7 @@
             }
             Err(error) => {
                 if let SourceError::Unreadable(fault) = &error {
+                    // The actor ends only with the instance.
                     let _ = control.send(ConfigurationUnreadable(fault.clone())).await;
                 }
                 Some(error.to_string())
@@ -126,6 +127,7 @@
             outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer in time".to_owned())));
         let fault = match outcome {
             Ok(update) => {
+                // The actor ends only with the instance.
                 let _ = control.send(ServersRead { update, asked_at }).await;
                 None
             }
@@ -159,6 +161,7 @@
     pause: &mut Pause,
 ) {
     let is_lost = fault.is_some();
+    // The actor ends only with the instance.
     let _ = control
         .send(StoreReadEnded {
             topic,
--- a/crates/reedsail_router/src/control/peer_table.rs
+++ b/crates/reedsail_router/src/control/peer_table.rs
@@ -1,4 +1,4 @@
-//! The peers that this instance knows, and when each was last heard.
+//! The peers that this instance knows, and when each last sent a message.
 //!
 //! Owns addresses and freshness of peers; their load is the dispatcher's. Peers become known by their
 //! own messages, by those of others, or as seeds of the settings.
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) address: SocketAddrV4,
-    /// When it was last heard; for one that only others named, when they did.
-    pub(crate) heard_at: TimeMs,
-    pub(crate) is_heard: bool,
+    /// When its last message came; for one that only others named, when they did.
+    pub(crate) received_at: TimeMs,
+    pub(crate) is_alive: bool,
     pub(crate) incarnation: u32,
     pub(crate) sequence: u32,
     pub(crate) failure_domain: NameHash,
@@ -37,15 +37,15 @@
     sent_at: TimeMs,
 }
 
-/// How a message changes what is known of its sender.
+/// What a message means for what is known of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum Arrival {
     /// The message is older than one that came before.
     Stale,
     /// The peer was silent or unknown before.
-    Anew,
+    FromNew,
     /// The peer was alive before.
-    Again,
+    FromAlive,
 }
 
 /// The peers that are known.
@@ -65,25 +65,25 @@
     }
 
     /// Takes in a message; one that overtook a newer one is stale.
-    pub(crate) fn receive(&mut self, message: &LoadMessage, from: SocketAddrV4, now: TimeMs) -> Heard {
+    pub(crate) fn receive(&mut self, message: &LoadMessage, from: SocketAddrV4, now: TimeMs) -> Arrival {
         for row in &message.members {
             self.learn(*row, now);
         }
         let peer_silent_ms = self.timing.peer_silent_ms;
         let known = self.peers.get(&message.instance);
         let is_alive =
-            known.is_some_and(|peer| peer.is_heard && now.since_ms(peer.heard_at) < peer_silent_ms);
+            known.is_some_and(|peer| peer.is_alive && now.since_ms(peer.received_at) < peer_silent_ms);
         let is_stale = known.is_some_and(|peer| {
-            peer.is_heard && peer.incarnation == message.incarnation && peer.sequence >= message.sequence
+            peer.is_alive && peer.incarnation == message.incarnation && peer.sequence >= message.sequence
         });
         if is_stale {
-            return Heard::Stale;
+            return Arrival::Stale;
         }
         let sent_at = known.map_or(TimeMs(0), |peer| peer.sent_at);
         let peer = Peer {
             address: from,
-            heard_at: now,
-            is_heard: true,
+            received_at: now,
+            is_alive: true,
             incarnation: message.incarnation,
             sequence: message.sequence,
             failure_domain: message.failure_domain,
@@ -93,14 +93,18 @@
             sent_at,
         };
         self.peers.insert(message.instance, peer);
-        if is_alive { Heard::Again } else { Heard::Anew }
+        if is_alive {
+            Arrival::FromAlive
+        } else {
+            Arrival::FromNew
+        }
     }
 
     fn learn(&mut self, row: MemberRow, now: TimeMs) {
         self.peers.entry(row.instance).or_insert(Peer {
             address: row.address,
-            heard_at: now,
-            is_heard: false,
+            received_at: now,
+            is_alive: false,
             incarnation: 0,
             sequence: 0,
             failure_domain: NameHash::default(),
@@ -114,12 +118,12 @@
     /// Returns the peers that went silent since the last call, and forgets those that were silent for long.
     pub(crate) fn drop_silent(&mut self, now: TimeMs) -> Vec<(NameHash, SocketAddrV4)> {
         self.peers
-            .retain(|_, peer| now.since_ms(peer.heard_at) < FORGET_MS);
+            .retain(|_, peer| now.since_ms(peer.received_at) < FORGET_MS);
         let peer_silent_ms = self.timing.peer_silent_ms;
         let mut silent = Vec::new();
         for (instance, peer) in &mut self.peers {
-            if peer.is_heard && now.since_ms(peer.heard_at) >= peer_silent_ms {
-                peer.is_heard = false;
+            if peer.is_alive && now.since_ms(peer.received_at) >= peer_silent_ms {
+                peer.is_alive = false;
                 silent.push((*instance, peer.address));
             }
         }
@@ -131,7 +135,7 @@
     pub(crate) fn targets(&mut self, now: TimeMs) -> Vec<SocketAddrV4> {
         let mut targets = Vec::new();
         for peer in self.peers.values_mut() {
-            if peer.is_heard || now.since_ms(peer.sent_at) >= SILENT_EVERY_MS {
+            if peer.is_alive || now.since_ms(peer.sent_at) >= SILENT_EVERY_MS {
                 peer.sent_at = now;
                 targets.push(peer.address);
             }
@@ -146,33 +150,33 @@
 
     /// Returns some peers for the next message to name, others each time.
     pub(crate) fn rows(&mut self) -> Vec<MemberRow> {
-        let mut heard: Vec<MemberRow> = self
+        let mut alive: Vec<MemberRow> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.is_heard)
+            .filter(|(_, peer)| peer.is_alive)
             .map(|(instance, peer)| MemberRow {
                 instance: *instance,
                 address: peer.address,
             })
             .collect();
-        heard.sort_by_key(|row| row.instance);
-        if heard.is_empty() {
-            return heard;
+        alive.sort_by_key(|row| row.instance);
+        if alive.is_empty() {
+            return alive;
         }
-        self.first_row = (self.first_row + ROWS_PER_MESSAGE) % heard.len().max(ROWS_PER_MESSAGE);
-        let from = self.first_row % heard.len();
-        heard.rotate_left(from);
-        heard.truncate(ROWS_PER_MESSAGE);
-        heard
+        self.first_row = (self.first_row + ROWS_PER_MESSAGE) % alive.len().max(ROWS_PER_MESSAGE);
+        let from = self.first_row % alive.len();
+        alive.rotate_left(from);
+        alive.truncate(ROWS_PER_MESSAGE);
+        alive
     }
 
     /// Returns the peers that are alive, as the store-reader rule sees them.
     pub(crate) fn reader_candidates(&self, now: TimeMs) -> impl Iterator<Item = ReaderCandidate> {
-        let alive = self.peers.iter().filter(|(_, peer)| peer.is_heard);
+        let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive);
         alive.map(move |(instance, peer)| ReaderCandidate {
             instance: *instance,
             failure_domain: peer.failure_domain,
-            silent_ms: now.since_ms(peer.heard_at),
+            silent_ms: now.since_ms(peer.received_at),
             is_stopping: peer.is_stopping,
         })
     }
@@ -201,6 +205,6 @@
 
     /// Returns the peers that are alive.
     pub(crate) fn alive(&self) -> impl Iterator<Item = &Peer> {
-        self.peers.values().filter(|peer| peer.is_heard)
+        self.peers.values().filter(|peer| peer.is_alive)
     }
 }
--- a/crates/reedsail_router/src/control/server_publication.rs
+++ b/crates/reedsail_router/src/control/server_publication.rs
@@ -63,7 +63,7 @@
 fn log_delta<H>(shared: &Shared<H>, delta: &ListDelta, origin: Origin, age_ms: u64) {
     let changes = [
         (EventKind::ServerListed, &delta.listed),
-        (EventKind::ServerLeaving, &delta.draining),
+        (EventKind::ServerDraining, &delta.draining),
         (EventKind::ServerUnlisted, &delta.unlisted),
     ];
     for (kind, ids) in changes {
--- a/crates/reedsail_router/src/header_values.rs
+++ b/crates/reedsail_router/src/header_values.rs
@@ -25,6 +25,7 @@
 
 /// Reads a bearer key (RFC 6750).
 pub fn read_bearer(headers: &HeaderMap) -> Option<String> {
+    // A value that is not ASCII is no key.
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::to_owned)
 }
@@ -64,12 +65,14 @@
 fn read_segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(PromptSegment {
+        // What is no number makes the whole header unreadable, which the caller is told.
         id: u64::from_str_radix(id, 16).ok()?,
-        tokens: tokens.parse().ok()?,
+        tokens: tokens.parse().ok()?, // The same.
     })
 }
 
-/// Inserts a text; one that no header may hold is left out.
+/// Inserts a text. One that no header may hold is left out: names that the store gives are ASCII, and a
+/// server that misses its own id refuses the request.
 pub fn insert_text(headers: &mut HeaderMap, name: &'static str, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
--- a/crates/reedsail_router/src/program.rs
+++ b/crates/reedsail_router/src/program.rs
@@ -21,10 +21,11 @@
 /// Exit code of a program that could not start.
 const EXIT_UNUSABLE: u8 = 2;
 
-/// How long the program waits at its end for its last log lines to be written.
+/// Time that the program waits at its end for its last log lines to be written, in milliseconds. Chosen,
+/// not measured.
 const LAST_LINES_MS: u64 = 100;
 
-/// What a program is told on its command line.
+/// The flags of the command line.
 #[derive(Clone, Debug)]
 pub struct ProgramFlags {
     /// The file with the settings.
@@ -33,8 +34,8 @@
     pub check: bool,
 }
 
-/// Runs a router until a signal ends it: SIGTERM and SIGINT stop it as planned, SIGHUP has its
-/// settings read again.
+/// Runs a router until a signal ends it: SIGTERM and SIGINT begin a planned stop, SIGHUP has the settings
+/// read again.
 pub fn run_program<H, C, S>(
     flags: &ProgramFlags,
     protocol: H,
--- a/crates/reedsail_router/src/protocol.rs
+++ b/crates/reedsail_router/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The headers in which callers and backend servers are spoken to.
+//! The headers that callers and backend servers exchange with the router.
 //!
 //! The adapter of a platform implements the trait; the tests have headers of their own.
 
@@ -10,12 +10,12 @@
 use reedsail_dispatch::Prompt;
 use thiserror::Error;
 
-/// What the head of a caller's request says.
+/// The head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallHead {
     /// The caller's id of the request.
     pub request_id: Option<HeaderValue>,
-    /// How long the caller waits.
+    /// How long the caller waits, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// The caller's key.
     pub key: Option<String>,
@@ -33,24 +33,24 @@
     pub allowed: &'static str,
 }
 
-/// What a daemon tells a backend server along with a request.
+/// What the router adds to a request for a backend server.
 #[derive(Clone, Debug)]
 pub struct ForwardHead<'a> {
     /// The id of the request.
     pub request_id: &'a HeaderValue,
-    /// What is left of the caller's time.
+    /// What is left of the caller's time, in milliseconds.
     pub deadline_ms: u64,
-    /// The id of the server that is meant.
+    /// The id of the chosen server, which refuses the request if it is another one by now.
     pub server_id: &'a str,
     /// The workspace; `None` on a route without keys.
     pub workspace: Option<&'a str>,
-    /// A server that keeps what the meant one has not read of the prompt.
+    /// A server from which the chosen one is to transfer cached segments of the prompt.
     pub cache_source: Option<SocketAddr>,
-    /// The last event that the caller has of a stream which is to go on.
+    /// The last event that the caller has of a stream that is resumed.
     pub resume_after: Option<&'a str>,
 }
 
-/// What the head of a server's answer says.
+/// What the head of a server's answer means for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerHead {
     /// It belongs to another request.
@@ -75,9 +75,9 @@
     /// Reads the head of the answer to the request with the given id.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap, request_id: &HeaderValue) -> AnswerHead;
 
-    /// Writes the id of the request into an answer of the daemon's own.
+    /// Writes the id of the request into an answer of the router's own.
     fn write_own_answer(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>);
 
-    /// Writes after which time to come back.
+    /// Formats a retry-after, given in milliseconds.
     fn retry_after(&self, after_ms: u64) -> HeaderValue;
 }
--- a/crates/reedsail_router/src/route_table.rs
+++ b/crates/reedsail_router/src/route_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, ready for look-ups: made once for each version, never changed.
+//! Look-ups over the configuration in force: built once for each version, never changed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     pub(crate) hash: NameHash,
 }
 
-/// Whom a request counts against.
+/// The workspace that a request counts against.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Identity {
     /// A workspace's key was sent.
--- a/crates/reedsail_router/src/running.rs
+++ b/crates/reedsail_router/src/running.rs
@@ -23,10 +23,11 @@
 use crate::traffic::TrafficThread;
 use crate::traffic::run_traffic;
 
-/// How often a stopping router looks whether requests are open.
+/// Interval at which a stopping router checks whether requests are open, in milliseconds. Chosen, not
+/// measured.
 const STOP_POLL_MS: u64 = 20;
 
-/// How many ports are tried where any will do.
+/// Ports that are tried where any will do.
 const PORT_TRIES_MAX: u32 = 20;
 
 /// Where a router listens, with free ports filled in.
@@ -38,7 +39,7 @@
     pub readiness: SocketAddr,
     /// For metrics.
     pub admin: SocketAddr,
-    /// For other daemons.
+    /// For peers.
     pub peers: SocketAddr,
 }
 
@@ -83,7 +84,7 @@
             ("peers", addresses.peers.to_string()),
         ];
         shared.emit(EventKind::DaemonStarted, &fields);
-        let (seeds, seeds_heard) = mpsc::channel(1);
+        let (seeds, new_seeds) = mpsc::channel(1);
         let traffic = TrafficThread {
             shared: Arc::clone(&shared),
             listener: callers,
@@ -97,7 +98,7 @@
                 server_source,
                 peer_socket,
                 page_listeners: vec![readiness, admin, peers],
-                seeds: seeds_heard,
+                seeds: new_seeds,
             })
         };
         let mut workers = Workers::default();
@@ -129,6 +130,7 @@
             ..settings.clone()
         };
         let needs_restart = same_but_for_seeds != *before;
+        // The receiver ends only with the control thread.
         let _ = self.seeds.send(settings.seeds.clone()).await;
         let fields = [
             ("seeds", settings.seeds.len().to_string()),
@@ -181,7 +183,7 @@
     let mut tries_left = if address.port() == 0 { PORT_TRIES_MAX } else { 1 };
     loop {
         let socket = UdpSocket::bind(address)
-            .with_context(|| format!("cannot hear datagrams on {address}; free the port"))?;
+            .with_context(|| format!("cannot receive datagrams on {address}; free the port"))?;
         socket.set_nonblocking(true)?;
         tries_left -= 1;
         match listen_on(socket.local_addr()?) {
--- a/crates/reedsail_router/src/settings.rs
+++ b/crates/reedsail_router/src/settings.rs
@@ -1,4 +1,5 @@
-//! The router's settings, read from YAML and checked whole.
+//! The router's settings, read from YAML; every fault is reported at once. Keys are what operators write,
+//! and stay.
 
 use std::net::SocketAddr;
 
@@ -18,7 +19,7 @@
 /// Log lines of one kind in a second where the settings name no number. Chosen, not measured.
 const LOG_LINES_DEFAULT_PER_S: u32 = 50;
 
-/// Everything that a router is told at its start.
+/// The settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
     /// The instance's name.
@@ -27,15 +28,15 @@
     pub failure_domain: String,
     /// Where it listens.
     pub listen: ListenAddresses,
-    /// The path under which the balancer asks whether the daemon is ready.
+    /// The path of the balancer's readiness probe.
     pub readiness_path: String,
     /// Where the platform's store is.
     pub store: SocketAddr,
-    /// Daemons to tell before any is known; their ports are replaced by this daemon's own.
+    /// Peers to send load messages to before any is known; their ports are replaced by this instance's own.
     pub seeds: Vec<SocketAddr>,
     /// How a planned stop goes.
     pub stop: StopSettings,
-    /// Figures of the decisions.
+    /// Settings of the decisions.
     pub dispatch: DispatchSettings,
     /// How much memory the process may use, in megabytes of a million bytes.
     pub memory_mb: u64,
@@ -48,20 +49,20 @@
 pub struct ListenAddresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the daemon is ready.
+    /// For the balancer's readiness probe.
     pub readiness: SocketAddr,
     /// For metrics and status.
     pub admin: SocketAddr,
-    /// For other daemons: datagrams, and TCP for whole configurations.
+    /// For peers: UDP for load messages, TCP for whole configurations and server lists.
     pub peers: SocketAddr,
 }
 
 /// How a planned stop goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopSettings {
-    /// How long new requests are still taken, until callers have noticed.
+    /// How long every request is still taken, in milliseconds, until callers have noticed.
     pub accept_ms: u64,
-    /// After which time the daemon ends, whatever is still open.
+    /// When the process ends, whatever is still open, in milliseconds from the signal.
     pub end_ms: u64,
 }
 
--- a/crates/reedsail_router/src/source.rs
+++ b/crates/reedsail_router/src/source.rs
@@ -1,4 +1,4 @@
-//! Where a daemon learns the configuration and the backend servers from.
+//! Where the router learns the configuration and the backend servers from.
 //!
 //! The adapter of a platform implements these; they translate, and decide nothing.
 
--- a/crates/reedsail_router/src/traffic/thread.rs
+++ b/crates/reedsail_router/src/traffic/thread.rs
@@ -77,7 +77,7 @@
                 ("lag_ms", shared.overload.lag_ms().to_string()),
                 ("open_requests", sample.open_requests.to_string()),
             ];
-            shared.emit(EventKind::DaemonCrowded, &fields);
+            shared.emit(EventKind::CallersShed, &fields);
         }
     }
 }
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -286,7 +286,7 @@
     show(vec![ServerChange::Announced(server(false))]);
     wait_for_line(EventKind::ServerListed, "hall-b-1").await;
     show(vec![ServerChange::Announced(server(true))]);
-    wait_for_line(EventKind::ServerLeaving, "hall-b-1").await;
+    wait_for_line(EventKind::ServerDraining, "hall-b-1").await;
     show(vec![ServerChange::Unreadable {
         id: "app-2".to_owned(),
         fault: "it is torn".to_owned(),
@@ -350,7 +350,7 @@
     let waiting: Vec<_> = (0..4)
         .map(|_| tokio::spawn(async move { ask(callers, "/once/", &[]).await }))
         .collect();
-    wait_for_line(EventKind::DaemonCrowded, "hall-c-1").await;
+    wait_for_line(EventKind::CallersShed, "hall-c-1").await;
     assert!(!site.router.close().await);
     for asking in waiting {
         asking.abort();
@@ -389,7 +389,7 @@
     let mut other = settings("hall-a-2");
     other.seeds = vec![site.router.addresses().peers];
     let other = start(&Store::new(None, None), other);
-    wait_for_line(EventKind::PeerHeard, "\"hall-a-1\"").await;
+    wait_for_line(EventKind::PeerAlive, "\"hall-a-1\"").await;
     wait_until_ready(&other).await;
     other.kill();
     wait_for_line(EventKind::PeerSuspected, "\"hall-a-1\"").await;
--- a/crates/reedsail_wire/src/load_message.rs
+++ b/crates/reedsail_wire/src/load_message.rs
@@ -1,4 +1,4 @@
-//! The datagram in which a daemon tells another of its load, and of what it knows.
+//! The load message: the datagram by which instances gossip their load and what they know.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -13,29 +13,34 @@
 use reedsail_dispatch::WorkspaceUseRow;
 
 use crate::load_capnp::load_report;
+use crate::load_capnp::member_row;
+use crate::load_capnp::part_row;
+use crate::load_capnp::server_load_row;
+use crate::load_capnp::workspace_use_row;
 
-/// The most rows of one list that are read.
+/// Rows of one list at most. Chosen, not measured.
 const ROWS_MAX: u32 = 4_096;
-/// The most eight-byte words that a message may name while it is read.
+/// Words of eight bytes that reading a message may touch at most, against messages that name the same
+/// bytes again and again. Chosen, not measured.
 const TRAVERSAL_WORDS_MAX: usize = 64 << 10;
 
-/// A daemon that the sender knows.
+/// An instance that the sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberRow {
     /// The instance.
     pub instance: NameHash,
-    /// Where it hears datagrams.
+    /// Where it receives load messages.
     pub address: SocketAddrV4,
 }
 
-/// What one daemon tells another, unasked; lost ones are not sent again.
+/// What one instance sends to another; a lost message is replaced by the next.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadMessage {
     /// The sending instance.
     pub instance: NameHash,
     /// Changes at every start of the sender.
     pub incarnation: u32,
-    /// Grows by one with each round of messages.
+    /// Grows by one with each message.
     pub sequence: u32,
     /// The sender's failure domain.
     pub failure_domain: NameHash,
@@ -53,9 +58,9 @@
     pub is_stopping: bool,
     /// Its load.
     pub load: LoadReport,
-    /// Backend servers that the sender knows to be leaving or gone.
+    /// Backend servers that the sender knows to be draining or departed.
     pub departures: Vec<NameHash>,
-    /// Some of the daemons that the sender knows.
+    /// Some of the instances that the sender knows.
     pub members: Vec<MemberRow>,
 }
 
@@ -63,10 +68,19 @@
     /// Encodes the message.
     ///
     /// # Errors
-    /// The codec's; never for a message within memory.
+    /// The codec's; none for a message that fits into memory.
     pub fn encode(&self) -> Result<Vec<u8>, capnp::Error> {
         let mut message = Builder::new_default();
         let mut root = message.init_root::<load_report::Builder<'_>>();
+        self.write_head(&mut root);
+        self.write_load(&mut root);
+        self.write_membership(&mut root);
+        let mut bytes = Vec::new();
+        serialize_packed::write_message(&mut bytes, &message)?;
+        Ok(bytes)
+    }
+
+    fn write_head(&self, root: &mut load_report::Builder<'_>) {
         root.set_instance(self.instance.0);
         root.set_incarnation(self.incarnation);
         root.set_sequence(self.sequence);
@@ -77,6 +91,10 @@
         root.set_servers_digest(self.servers_digest);
         root.set_servers_age_ms(self.servers_age_ms);
         root.set_stopping(self.is_stopping);
+    }
+
+    /// Writes the load. The schema says unread tokens for tokens to prefill, and part for segment.
+    fn write_load(&self, root: &mut load_report::Builder<'_>) {
         let mut servers = root.reborrow().init_servers(self.load.servers.len() as u32);
         for (index, row) in (0..).zip(&self.load.servers) {
             let mut target = servers.reborrow().get(index);
@@ -92,15 +110,19 @@
             target.set_asked_cost(row.requested_cost);
             target.set_begun_cost(row.sent_cost);
         }
-        let mut parts = root.reborrow().init_parts(self.load.prefixes.len() as u32);
+        let mut prefixes = root.reborrow().init_parts(self.load.prefixes.len() as u32);
         for (index, row) in (0..).zip(&self.load.prefixes) {
-            let mut target = parts.reborrow().get(index);
+            let mut target = prefixes.reborrow().get(index);
             target.set_part(row.segment);
             target.set_server(row.server.0);
         }
-        let mut leaving = root.reborrow().init_leaving(self.departures.len() as u32);
+    }
+
+    /// Writes departures, which the schema calls leaving, and members.
+    fn write_membership(&self, root: &mut load_report::Builder<'_>) {
+        let mut departures = root.reborrow().init_leaving(self.departures.len() as u32);
         for (index, server) in (0..).zip(&self.departures) {
-            leaving.set(index, server.0);
+            departures.set(index, server.0);
         }
         let mut members = root.reborrow().init_members(self.members.len() as u32);
         for (index, row) in (0..).zip(&self.members) {
@@ -109,38 +131,17 @@
             target.set_ipv4(u32::from(*row.address.ip()));
             target.set_port(row.address.port());
         }
-        let mut bytes = Vec::new();
-        serialize_packed::write_message(&mut bytes, &message)?;
-        Ok(bytes)
     }
 
     /// Decodes a message; every list is bounded.
     ///
     /// # Errors
-    /// The bytes are no such message, or a list is longer than any daemon sends.
+    /// The bytes are no such message, or a list is longer than any instance sends.
     pub fn decode(mut bytes: &[u8]) -> Result<Self, capnp::Error> {
         let mut options = ReaderOptions::new();
         options.traversal_limit_in_words(Some(TRAVERSAL_WORDS_MAX));
         let message = serialize_packed::read_message(&mut bytes, options)?;
         let root = message.get_root::<load_report::Reader<'_>>()?;
-        let servers = root.get_servers()?;
-        let workspaces = root.get_workspaces()?;
-        let leaving = root.get_leaving()?;
-        let members = root.get_members()?;
-        let parts = root.get_parts()?;
-        for rows in [
-            servers.len(),
-            workspaces.len(),
-            leaving.len(),
-            members.len(),
-            parts.len(),
-        ] {
-            if rows > ROWS_MAX {
-                return Err(capnp::Error::failed(format!(
-                    "a load message has {rows} rows; at most {ROWS_MAX} are read"
-                )));
-            }
-        }
         Ok(Self {
             instance: NameHash(root.get_instance()),
             incarnation: root.get_incarnation(),
@@ -152,45 +153,67 @@
             servers_digest: root.get_servers_digest(),
             servers_age_ms: root.get_servers_age_ms(),
             is_stopping: root.get_stopping(),
-            load: LoadReport {
-                servers: servers
-                    .iter()
-                    .map(|row| ServerLoadRow {
-                        server: NameHash(row.get_server()),
-                        running: row.get_running(),
-                        failure_rate: row.get_failure_rate(),
-                        prefill_tokens: row.get_unread_tokens(),
-                    })
-                    .collect(),
-                workspaces: workspaces
-                    .iter()
-                    .map(|row| WorkspaceUseRow {
-                        workspace: NameHash(row.get_workspace()),
-                        requested_cost: bounded(row.get_asked_cost()),
-                        sent_cost: bounded(row.get_begun_cost()),
-                    })
-                    .collect(),
-                prefixes: parts
-                    .iter()
-                    .map(|row| PrefixRow {
-                        segment: row.get_part(),
-                        server: NameHash(row.get_server()),
-                    })
-                    .collect(),
-            },
-            departures: leaving.iter().map(NameHash).collect(),
-            members: members
-                .iter()
-                .map(|row| MemberRow {
-                    instance: NameHash(row.get_instance()),
-                    address: SocketAddrV4::new(Ipv4Addr::from(row.get_ipv4()), row.get_port()),
-                })
-                .collect(),
+            load: read_load(root)?,
+            departures: read_departures(root)?,
+            members: read_members(root)?,
         })
     }
 }
 
-/// Takes a cost from a peer: what is no amount counts as nothing.
-fn bounded(cost: f32) -> f32 {
+fn read_load(root: load_report::Reader<'_>) -> Result<LoadReport, capnp::Error> {
+    let (servers, workspaces, prefixes) = (root.get_servers()?, root.get_workspaces()?, root.get_parts()?);
+    for rows in [servers.len(), workspaces.len(), prefixes.len()] {
+        check_rows(rows)?;
+    }
+    let server = |row: server_load_row::Reader<'_>| ServerLoadRow {
+        server: NameHash(row.get_server()),
+        running: row.get_running(),
+        failure_rate: row.get_failure_rate(),
+        prefill_tokens: row.get_unread_tokens(),
+    };
+    let workspace = |row: workspace_use_row::Reader<'_>| WorkspaceUseRow {
+        workspace: NameHash(row.get_workspace()),
+        requested_cost: valid_cost(row.get_asked_cost()),
+        sent_cost: valid_cost(row.get_begun_cost()),
+    };
+    let prefix = |row: part_row::Reader<'_>| PrefixRow {
+        segment: row.get_part(),
+        server: NameHash(row.get_server()),
+    };
+    Ok(LoadReport {
+        servers: servers.iter().map(server).collect(),
+        workspaces: workspaces.iter().map(workspace).collect(),
+        prefixes: prefixes.iter().map(prefix).collect(),
+    })
+}
+
+fn read_departures(root: load_report::Reader<'_>) -> Result<Vec<NameHash>, capnp::Error> {
+    let departures = root.get_leaving()?;
+    check_rows(departures.len())?;
+    Ok(departures.iter().map(NameHash).collect())
+}
+
+fn read_members(root: load_report::Reader<'_>) -> Result<Vec<MemberRow>, capnp::Error> {
+    let members = root.get_members()?;
+    check_rows(members.len())?;
+    let member = |row: member_row::Reader<'_>| MemberRow {
+        instance: NameHash(row.get_instance()),
+        address: SocketAddrV4::new(Ipv4Addr::from(row.get_ipv4()), row.get_port()),
+    };
+    Ok(members.iter().map(member).collect())
+}
+
+fn check_rows(rows: u32) -> Result<(), capnp::Error> {
+    if rows > ROWS_MAX {
+        return Err(capnp::Error::failed(format!(
+            "a load message has {rows} rows; at most {ROWS_MAX} are read"
+        )));
+    }
+    Ok(())
+}
+
+/// Reads a cost from a peer. What is no amount counts as zero: it would poison every sum that it enters,
+/// and a peer that sends it is at fault, not the workspace.
+fn valid_cost(cost: f32) -> f32 {
     if cost.is_finite() { cost.max(0.0) } else { 0.0 }
 }
