--- a/crates/reedsail_bench/tests/docs.rs
+++ b/crates/reedsail_bench/tests/docs.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn the_page_of_metrics_names_what_the_daemon_shows() {
-    let page = read("docs/METRICS.md");
+    let page = read("docs/reedsaild/METRICS.md");
     let named: BTreeSet<String> = table_rows(&page).into_iter().map(|row| row[0].clone()).collect();
     let code = read("crates/reedsail_daemon/src/metrics.rs");
     let known: BTreeSet<String> = code
@@ -105,7 +105,7 @@
 
 #[test]
 fn the_page_of_settings_names_every_key() {
-    let page = read("docs/SETTINGS.md");
+    let page = read("docs/reedsaild/SETTINGS.md");
     let named: BTreeSet<String> = table_rows(&page)
         .into_iter()
         .filter(|row| row[0] != "key")
