--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -3,9 +3,6 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use http_body_util::BodyExt;
-use http_body_util::LengthLimitError;
-use http_body_util::Limited;
 use hyper::HeaderMap;
 use hyper::Method;
 use hyper::Request;
@@ -16,6 +13,8 @@
 use reedsail_core::TimeMs;
 use reedsail_core::WorkspaceKey;
 use reedsail_net::Clock;
+use reedsail_net::header_bytes;
+use reedsail_net::read_body;
 use reedsail_scheduling::ClaimKey;
 use reedsail_scheduling::Class;
 use reedsail_scheduling::SharePolicy;
@@ -89,7 +88,9 @@
             .take_rate(workspace, per_s)
             .map_err(|after_ms| (ErrorKind::RateLimited, Some(after_ms)))?;
     }
-    let body = read_body(body, limits.body_bytes_max).await?;
+    let body = read_body(body, limits.body_bytes_max)
+        .await
+        .map_err(|kind| (kind, None))?;
     let mut prefix = None;
     let mut wants_stream = false;
     let service = match plain_service {
@@ -142,24 +143,12 @@
 }
 
 fn check_header_size(headers: &HeaderMap, most_bytes: usize) -> Result<(), Refusal> {
-    let size: usize = headers
-        .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + 4)
-        .sum();
-    if size > most_bytes {
+    if header_bytes(headers) > most_bytes {
         return Err((ErrorKind::HeaderTooLarge, None));
     }
     Ok(())
 }
 
-async fn read_body(body: Incoming, most_bytes: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most_bytes).collect().await {
-        Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err((ErrorKind::BodyTooLarge, None)),
-        Err(_) => Err((ErrorKind::BodyIncomplete, None)),
-    }
-}
-
 /// Reads the key of a call that may not be repeated; it carries its time (`UUIDv7`, RFC 9562), so
 /// that a key which the log may have forgotten can be told.
 fn read_key(headers: &HeaderMap, rule: KeyRule, retention_ms: u64) -> Result<Option<ClaimKey>, Refusal> {
--- a/crates/reedsail_daemon/src/traffic/headers.rs
+++ b/crates/reedsail_daemon/src/traffic/headers.rs
@@ -5,6 +5,7 @@
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
 use reedsail_core::ErrorKind;
+use reedsail_net::HOP_HEADERS;
 use reedsail_scheduling::Class;
 use reedsail_scheduling::Digest;
 use sha2::Digest as _;
@@ -19,17 +20,12 @@
 /// The id that backend servers echo.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1), or that the daemon sets itself.
-const NOT_PASSED_ON: &[&str] = &[
-    "connection",
-    "keep-alive",
+/// Headers that are not passed on besides [`HOP_HEADERS`]: those between the caller and this daemon, and
+/// those that the daemon sets itself. The router passes `host` and the proxy's two on: its routes have
+/// backend servers that may look at them.
+const OWN_HEADERS: &[&str] = &[
     "proxy-authenticate",
     "proxy-authorization",
-    "proxy-connection",
-    "te",
-    "trailer",
-    "transfer-encoding",
-    "upgrade",
     "host",
     "content-length",
     "expect",
@@ -87,5 +83,5 @@
 }
 
 fn is_passed_on(name: &HeaderName) -> bool {
-    !NOT_PASSED_ON.contains(&name.as_str())
+    !HOP_HEADERS.contains(&name.as_str()) && !OWN_HEADERS.contains(&name.as_str())
 }
--- a/crates/reedsail_router/src/traffic/hop_headers.rs
+++ b/crates/reedsail_net/src/hop_headers.rs
@@ -1,10 +1,10 @@
-//! Removes the headers that concern one connection only, from requests and from answers.
+//! Headers that concern one connection only, and are not passed on in requests or answers.
 
 use hyper::HeaderMap;
 use hyper::header::CONNECTION;
 
 /// Headers that concern one connection only (RFC 9110, 7.6.1).
-const HOP_HEADERS: &[&str] = &[
+pub const HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -15,7 +15,7 @@
 ];
 
 /// Removes these headers, and those that the `Connection` header names.
-pub(crate) fn remove_hop_headers(headers: &mut HeaderMap) {
+pub fn remove_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -3,7 +3,6 @@
 //! One actor on one thread, so that no belief needs a lock. It never waits: reads of the store, fetches
 //! from peers and datagrams are tasks around it (`follow`, `peer_fetch`, `thread`).
 
-use std::net::SocketAddrV4;
 use std::sync::Arc;
 
 use reedsail_core::NameHash;
@@ -28,13 +27,13 @@
 use super::messages::MayRead;
 use super::messages::MessageReceived;
 use super::messages::Origin;
+use super::messages::Outbox;
+use super::messages::PeerFetch;
 use super::messages::PeerServersRead;
 use super::messages::SeedsChanged;
 use super::messages::ServersRead;
 use super::messages::StoreReadEnded;
 use super::messages::Tick;
-use super::peer_fetch::FETCH_INTERVAL_MS;
-use super::peer_fetch::PeerFetch;
 use super::peer_table::Arrival;
 use super::peer_table::PeerTable;
 use super::seeds::peer_addresses;
@@ -44,15 +43,8 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// What a tick asks to be sent.
-#[derive(Debug, Default)]
-pub(crate) struct Outbox {
-    /// The load message and whom to send it to, if it is due.
-    pub(crate) datagram: Vec<u8>,
-    pub(crate) targets: Vec<SocketAddrV4>,
-    /// What to fetch from peers.
-    pub(crate) fetches: Vec<PeerFetch>,
-}
+/// Interval between two plans of fetches, in milliseconds. Chosen, not measured.
+const FETCH_INTERVAL_MS: u64 = 500;
 
 /// The state of the control thread.
 pub(crate) struct Control<H> {
--- a/crates/reedsail_router/src/control/messages.rs
+++ b/crates/reedsail_router/src/control/messages.rs
@@ -70,9 +70,28 @@
     pub(crate) from: SocketAddrV4,
 }
 
-/// Time has passed; answered with what is to be sent.
+/// Time has passed; answered with an [`Outbox`].
 pub(crate) struct Tick;
 
+/// What a tick asks to be sent.
+#[derive(Debug, Default)]
+pub(crate) struct Outbox {
+    /// The load message and whom to send it to, if it is due.
+    pub(crate) datagram: Vec<u8>,
+    pub(crate) targets: Vec<SocketAddrV4>,
+    /// What to fetch from peers.
+    pub(crate) fetches: Vec<PeerFetch>,
+}
+
+/// Something to fetch from a peer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum PeerFetch {
+    /// The configuration in force there.
+    Configuration(SocketAddrV4),
+    /// The list of backend servers there.
+    Servers(SocketAddrV4),
+}
+
 /// The seeds in the settings file have changed.
 pub(crate) struct SeedsChanged(pub(crate) Vec<SocketAddr>);
 
--- a/crates/reedsail_router/src/control/peer_fetch.rs
+++ b/crates/reedsail_router/src/control/peer_fetch.rs
@@ -24,30 +24,20 @@
 use super::actor::Control;
 use super::messages::ConfigurationRead;
 use super::messages::Origin;
+use super::messages::PeerFetch;
 use super::messages::PeerServersRead;
 use crate::HeaderProtocol;
 use crate::admin::CONFIGURATION_PATH;
 use crate::admin::SERVERS_PATH;
 
-/// Time that a whole fetch may take, in milliseconds; shorter than [`FETCH_INTERVAL_MS`], so that one
-/// has ended before the next begins. Chosen, not measured.
+/// Time that a whole fetch may take, in milliseconds; shorter than the interval at which the actor plans
+/// fetches, so that one has ended before the next begins. Chosen, not measured.
 const FETCH_TIMEOUT_MS: u64 = 450;
 /// Time to connect to a peer at most, in milliseconds. Chosen, not measured.
 const CONNECT_MS: u64 = 200;
-/// Interval between two plans of fetches, in milliseconds. Chosen, not measured.
-pub(crate) const FETCH_INTERVAL_MS: u64 = 500;
 /// Size of an answer at most, in bytes. Chosen, not measured.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
-/// Something to fetch from a peer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PeerFetch {
-    /// The configuration in force there.
-    Configuration(SocketAddrV4),
-    /// The list of backend servers there.
-    Servers(SocketAddrV4),
-}
-
 /// Why a fetch gave nothing.
 #[derive(Debug, Error)]
 enum FetchError {
--- a/crates/reedsail_router/src/metrics.rs
+++ b/crates/reedsail_router/src/metrics.rs
@@ -8,6 +8,7 @@
 use prometheus::Opts;
 use prometheus::Registry;
 use prometheus::TextEncoder;
+use prometheus::core::Collector;
 
 /// Upper ends of the latency buckets, in seconds.
 const LATENCY_BUCKETS_S: &[f64] = &[
@@ -41,63 +42,49 @@
 impl Metrics {
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
-        let counters = |name: &str, help: &str, labels: &[&str]| {
-            let counters =
-                IntCounterVec::new(Opts::new(name, help), labels).expect("the name and labels are valid");
-            registry
-                .register(Box::new(counters.clone()))
-                .expect("each metric is registered once");
-            counters
-        };
-        let gauge = |name: &str, help: &str| {
-            let gauge = IntGauge::new(name, help).expect("the name is valid");
-            registry
-                .register(Box::new(gauge.clone()))
-                .expect("each metric is registered once");
-            gauge
-        };
-        let options = HistogramOpts::new(
-            "reedsail_router_first_part_seconds",
-            "Time from a request's arrival to the first part of its answer.",
-        );
-        let first_event = HistogramVec::new(options.buckets(LATENCY_BUCKETS_S.to_vec()), &["service"])
-            .expect("the name and labels are valid");
-        registry
-            .register(Box::new(first_event.clone()))
-            .expect("each metric is registered once");
         Self {
             answers: counters(
+                &registry,
                 "reedsail_router_answers_total",
                 "Requests by outcome.",
                 &["outcome"],
             ),
-            first_event,
+            first_event: latencies(
+                &registry,
+                "reedsail_router_first_part_seconds",
+                "Time from a request's arrival to the first event of its answer.",
+            ),
             retries: counters(
+                &registry,
                 "reedsail_router_repeats_total",
-                "Requests sent once more, by cause.",
+                "Retries by cause.",
                 &["cause"],
             ),
             connects: counters(
+                &registry,
                 "reedsail_router_connects_total",
                 "Connections opened to backend servers, by outcome.",
                 &["outcome"],
             ),
             store_reads: counters(
+                &registry,
                 "reedsail_router_store_reads_total",
                 "Reads of the store, by what was read and outcome.",
                 &["what", "outcome"],
             ),
             peer_messages: counters(
+                &registry,
                 "reedsail_router_peer_messages_total",
-                "Datagrams to and from other daemons.",
+                "Load messages to and from peers.",
                 &["direction"],
             ),
-            open_requests: gauge("reedsail_router_open_requests", "Requests open now."),
+            open_requests: gauge(&registry, "reedsail_router_open_requests", "Requests open now."),
             configuration_version: gauge(
+                &registry,
                 "reedsail_router_configuration_version",
                 "The version of the configuration in force.",
             ),
-            peers_alive: gauge("reedsail_router_peers_alive", "Daemons heard lately."),
+            peers_alive: gauge(&registry, "reedsail_router_peers_alive", "Peers that are alive."),
             registry,
         }
     }
@@ -110,3 +97,30 @@
         text
     }
 }
+
+/// Names, labels and buckets are constants of this file, so that none of these can fail once the tests
+/// have made them.
+fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+    let counters = IntCounterVec::new(Opts::new(name, help), labels).expect("the name and labels are valid");
+    register(registry, counters.clone());
+    counters
+}
+
+fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
+    let gauge = IntGauge::new(name, help).expect("the name is valid");
+    register(registry, gauge.clone());
+    gauge
+}
+
+fn latencies(registry: &Registry, name: &str, help: &str) -> HistogramVec {
+    let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
+    let latencies = HistogramVec::new(options, &["service"]).expect("the name and labels are valid");
+    register(registry, latencies.clone());
+    latencies
+}
+
+fn register(registry: &Registry, metric: impl Collector + 'static) {
+    registry
+        .register(Box::new(metric))
+        .expect("each metric is registered once");
+}
--- a/crates/reedsail_router/src/running.rs
+++ b/crates/reedsail_router/src/running.rs
@@ -15,6 +15,7 @@
 
 use crate::ConfigurationSource;
 use crate::HeaderProtocol;
+use crate::ListenAddresses;
 use crate::RouterSettings;
 use crate::ServerSource;
 use crate::control::ControlThread;
@@ -66,17 +67,8 @@
         C: ConfigurationSource,
         S: ServerSource,
     {
-        let listen = settings.listen;
-        let callers = listen_on(listen.callers)?;
-        let readiness = listen_on(listen.readiness)?;
-        let admin = listen_on(listen.admin)?;
-        let (peer_socket, peers) = bind_peers(listen.peers)?;
-        let addresses = RouterAddresses {
-            callers: callers.local_addr()?,
-            readiness: readiness.local_addr()?,
-            admin: admin.local_addr()?,
-            peers: peers.local_addr()?,
-        };
+        let listeners = Listeners::bind(&settings.listen)?;
+        let addresses = listeners.addresses()?;
         let shared = Arc::new(Shared::new(settings, protocol));
         let fields = [
             ("failure_domain", shared.settings.failure_domain.clone()),
@@ -87,7 +79,7 @@
         let (seeds, new_seeds) = mpsc::channel(1);
         let traffic = TrafficThread {
             shared: Arc::clone(&shared),
-            listener: callers,
+            listener: listeners.callers,
         };
         let control_shared = Arc::clone(&shared);
         let control = move || {
@@ -96,8 +88,8 @@
                 shared: control_shared,
                 configuration_source,
                 server_source,
-                peer_socket,
-                page_listeners: vec![readiness, admin, peers],
+                peer_socket: listeners.peer_socket,
+                page_listeners: vec![listeners.readiness, listeners.admin, listeners.peers],
                 seeds: new_seeds,
             })
         };
@@ -177,6 +169,40 @@
     }
 }
 
+/// The sockets of a router, bound before its threads start, so that a taken port is told at once.
+struct Listeners {
+    callers: TcpListener,
+    readiness: TcpListener,
+    admin: TcpListener,
+    peer_socket: UdpSocket,
+    peers: TcpListener,
+}
+
+impl Listeners {
+    fn bind(listen: &ListenAddresses) -> anyhow::Result<Self> {
+        let callers = listen_on(listen.callers)?;
+        let readiness = listen_on(listen.readiness)?;
+        let admin = listen_on(listen.admin)?;
+        let (peer_socket, peers) = bind_peers(listen.peers)?;
+        Ok(Self {
+            callers,
+            readiness,
+            admin,
+            peer_socket,
+            peers,
+        })
+    }
+
+    fn addresses(&self) -> anyhow::Result<RouterAddresses> {
+        Ok(RouterAddresses {
+            callers: self.callers.local_addr()?,
+            readiness: self.readiness.local_addr()?,
+            admin: self.admin.local_addr()?,
+            peers: self.peers.local_addr()?,
+        })
+    }
+}
+
 /// Takes one port for datagrams and for TCP. Where any port will do, one that is free for datagrams
 /// may be taken for TCP: then another is tried.
 fn bind_peers(address: SocketAddr) -> anyhow::Result<(UdpSocket, TcpListener)> {
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -3,9 +3,6 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use http_body_util::BodyExt;
-use http_body_util::LengthLimitError;
-use http_body_util::Limited;
 use hyper::HeaderMap;
 use hyper::Method;
 use hyper::Request;
@@ -24,8 +21,10 @@
 use reedsail_dispatch::Demand;
 use reedsail_dispatch::Prompt;
 use reedsail_dispatch::time_left_ms;
+use reedsail_net::header_bytes;
+use reedsail_net::read_body;
+use reedsail_net::remove_hop_headers;
 
-use super::hop_headers::remove_hop_headers;
 use crate::CallHead;
 use crate::HeaderFault;
 use crate::HeaderProtocol;
@@ -81,30 +80,51 @@
 
 /// Checks a request whose head was read, and reads its body.
 ///
-/// The body is read first, so that the configuration that decides is the newest one.
+/// The body is read before the routes are looked at, so that the newest configuration decides.
 pub(crate) async fn read_call<H: HeaderProtocol>(
     shared: &Shared<H>,
     request: Request<Incoming>,
     head: Result<CallHead, HeaderFault>,
     arrived_at: TimeMs,
 ) -> Result<Call, ErrorKind> {
-    let open_requests = shared.metrics.open_requests.get() as u64;
-    let open_requests_max = shared.settings.open_requests_max();
-    if shared.overload.refuses_request(open_requests, open_requests_max) {
-        return Err(ErrorKind::DaemonOverloaded);
-    }
+    check_overload(shared)?;
     let limits = shared.routes.load().configuration.limits;
-    let (mut parts, body) = request.into_parts();
-    if header_bytes(&parts) > limits.header_bytes_max {
+    let (parts, body) = request.into_parts();
+    if header_bytes(&parts.headers) > limits.header_bytes_max {
         return Err(ErrorKind::HeaderTooLarge);
     }
-    let head = head.map_err(|_| ErrorKind::BadHeader)?;
+    let head = head.map_err(|_fault| ErrorKind::BadHeader)?;
     let body = read_body(body, limits.body_bytes_max).await?;
     let routes = shared.routes.load_full();
+    let call = route_call(&routes, parts, head, body, arrived_at)?;
+    if !shared.shutdown.takes_request(call.deadline, shared.clock.now()) {
+        return Err(ErrorKind::Stopping);
+    }
+    Ok(call)
+}
+
+/// Asks the overload rule.
+fn check_overload<H>(shared: &Shared<H>) -> Result<(), ErrorKind> {
+    let open_requests = shared.metrics.open_requests.get() as u64;
+    let open_requests_max = shared.settings.open_requests_max();
+    if shared.overload.refuses_request(open_requests, open_requests_max) {
+        return Err(ErrorKind::DaemonOverloaded);
+    }
+    Ok(())
+}
+
+/// Finds the route, the workspace and the service of a request.
+fn route_call(
+    routes: &RouteTable,
+    mut parts: Parts,
+    head: CallHead,
+    body: Bytes,
+    arrived_at: TimeMs,
+) -> Result<Call, ErrorKind> {
     if routes.version() == 0 {
         return Err(ErrorKind::NotReady);
     }
-    let route = find_route(&routes, &parts)?;
+    let route = find_route(routes, &parts)?;
     let workspace = match routes.identify(&route, head.key.as_deref()) {
         Identity::Workspace(workspace) => Some(workspace),
         Identity::Anonymous => None,
@@ -115,10 +135,6 @@
     parts.headers.remove(CONTENT_LENGTH);
     parts.headers.remove(EXPECT);
     let deadline_ms = head.deadline_ms.unwrap_or(DEADLINE_DEFAULT_MS);
-    let deadline = arrived_at.plus_ms(deadline_ms.min(route.timeout_ms));
-    if !shared.shutdown.takes_request(deadline, shared.clock.now()) {
-        return Err(ErrorKind::Stopping);
-    }
     Ok(Call {
         id: request_id(head.request_id),
         service: NameHash::of(&service_name),
@@ -131,7 +147,7 @@
         headers: parts.headers,
         body,
         arrived_at,
-        deadline,
+        deadline: arrived_at.plus_ms(deadline_ms.min(route.timeout_ms)),
         route,
     })
 }
@@ -144,22 +160,6 @@
     })
 }
 
-fn header_bytes(parts: &Parts) -> usize {
-    parts
-        .headers
-        .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + 4)
-        .sum()
-}
-
-async fn read_body(body: Incoming, most_bytes: usize) -> Result<Bytes, ErrorKind> {
-    match Limited::new(body, most_bytes).collect().await {
-        Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(ErrorKind::BodyTooLarge),
-        Err(_) => Err(ErrorKind::BodyIncomplete),
-    }
-}
-
 fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Arc<Route>, ErrorKind> {
     let host = parts
         .headers
--- a/crates/reedsail_router/src/traffic/forward.rs
+++ b/crates/reedsail_router/src/traffic/forward.rs
@@ -17,6 +17,7 @@
 use reedsail_dispatch::Decision;
 use reedsail_dispatch::Placement;
 use reedsail_dispatch::RetryVerdict;
+use reedsail_net::remove_hop_headers;
 
 use super::Pool;
 use super::answer::AnswerBody;
@@ -26,7 +27,6 @@
 use super::exchange::Answering;
 use super::exchange::AttemptResult;
 use super::exchange::attempt_once;
-use super::hop_headers::remove_hop_headers;
 use super::relay_stream::StreamBody;
 use super::relay_whole::WholeAnswer;
 use super::relay_whole::relay_whole;
--- a/crates/reedsail_router/src/traffic/mod.rs
+++ b/crates/reedsail_router/src/traffic/mod.rs
@@ -3,7 +3,7 @@
 //! In the order of a request: `thread` takes connections, `serve` one request, `call` reads and checks
 //! it, `forward` places and attempts it, `exchange` makes one attempt, `relay_whole`, `relay_stream` or
 //! `resume` brings the answer, `answer` is what the caller gets. Below all of them: `request_log`,
-//! `attempt_guard`, `hop_headers`, `answer_broken`. Nothing imports upwards.
+//! `attempt_guard`, `answer_broken`. Nothing imports upwards.
 
 mod answer;
 mod answer_broken;
@@ -11,7 +11,6 @@
 mod call;
 mod exchange;
 mod forward;
-mod hop_headers;
 mod relay_stream;
 mod relay_whole;
 mod request_log;
--- a/crates/reedsail_router/src/traffic/relay_whole.rs
+++ b/crates/reedsail_router/src/traffic/relay_whole.rs
@@ -10,12 +10,12 @@
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
 use reedsail_dispatch::AttemptOutcome;
+use reedsail_net::remove_hop_headers;
 use tokio::time::timeout_at;
 
 use super::Pool;
 use super::call::Call;
 use super::exchange::Answering;
-use super::hop_headers::remove_hop_headers;
 use crate::shared::Shared;
 
 /// Size of an answer that is read whole at most, in bytes. Chosen, not measured.
