--- a/crates/reedsail_bench/tests/docs.rs
+++ b/crates/reedsail_bench/tests/docs.rs
@@ -111,7 +111,7 @@
         .filter(|row| row[0] != "key")
         .map(|row| row[0].rsplit('.').next().unwrap_or_default().to_owned())
         .collect();
-    let code = read("crates/reedsail_daemon/src/settings.rs");
+    let code = read("crates/reedsail_daemon/src/settings_reader.rs");
     let code = code.split_whitespace().collect::<Vec<_>>().join(" ");
     let mut known = BTreeSet::new();
     for marker in ["required(\"", "optional(\"", "map, \"", "&mut mapping, \""] {
--- a/crates/reedsail_daemon/src/control/actor.rs
+++ b/crates/reedsail_daemon/src/control/actor.rs
@@ -8,26 +8,34 @@
 use reedsail_core::NameHash;
 use reedsail_core::ServiceKey;
 use reedsail_core::TimeMs;
-use reedsail_log_client::InstanceList;
-use reedsail_log_client::LogPage;
 use reedsail_scheduling::Allocator;
 use reedsail_scheduling::BytePacer;
 use reedsail_scheduling::Membership;
 use reedsail_scheduling::SharePolicy;
 use reedsail_wire::Grant;
-use reedsail_wire::LinkError;
-use reedsail_wire::Report;
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 use xtra::Actor;
 use xtra::Context;
 use xtra::Handler;
 
-use super::PeerAddress;
-use super::exchange::Errand;
-use super::exchange::PeerSchedule;
-use super::exchange::Seat;
-use super::links::LinkAction;
+use super::messages::BeginStop;
+use super::messages::BundleFetched;
+use super::messages::CheckpointDone;
+use super::messages::ExchangeDone;
+use super::messages::InstancesChanged;
+use super::messages::LinkAction;
+use super::messages::LogReachable;
+use super::messages::LogRead;
+use super::messages::PeerAddress;
+use super::messages::PeerReport;
+use super::messages::ReadBundle;
+use super::messages::ReadContent;
+use super::messages::ReadStatus;
+use super::messages::Tick;
+use super::report_plan::Assignment;
+use super::report_plan::PeerSchedule;
+use super::report_plan::ReportPlan;
 use crate::shared::Shared;
 use crate::shared::Status;
 
@@ -56,13 +64,13 @@
     pub(super) behind_since: Option<(TimeMs, NameHash)>,
     pub(super) membership: Membership,
     pub(super) servers_leaving: HashSet<NameHash>,
-    pub(super) servers_heard_leaving: HashMap<NameHash, TimeMs>,
+    pub(super) advertised_departures: HashMap<NameHash, TimeMs>,
     pub(super) allocators: HashMap<ServiceKey, Allocator>,
-    pub(super) seats: HashMap<ServiceKey, Seat>,
-    pub(super) domain_seats: HashMap<(ServiceKey, NameHash), Seat>,
+    pub(super) assignments: HashMap<ServiceKey, Assignment>,
+    pub(super) domain_assignments: HashMap<(ServiceKey, NameHash), Assignment>,
     pub(super) peers: HashMap<NameHash, PeerSchedule>,
-    pub(super) errands: HashMap<NameHash, Errand>,
-    pub(super) errands_at: Option<TimeMs>,
+    pub(super) plans: HashMap<NameHash, ReportPlan>,
+    pub(super) planned_at: Option<TimeMs>,
     pub(super) pacer: BytePacer,
     pub(super) exchanges: u64,
     pub(super) paced_at: TimeMs,
@@ -109,13 +117,13 @@
             behind_since: None,
             membership,
             servers_leaving: HashSet::new(),
-            servers_heard_leaving: HashMap::new(),
+            advertised_departures: HashMap::new(),
             allocators: HashMap::new(),
-            seats: HashMap::new(),
-            domain_seats: HashMap::new(),
+            assignments: HashMap::new(),
+            domain_assignments: HashMap::new(),
             peers: HashMap::new(),
-            errands: HashMap::new(),
-            errands_at: None,
+            plans: HashMap::new(),
+            planned_at: None,
             exchanges: 0,
             paced_at: shared.clock.now(),
             paced_bytes: 0,
@@ -133,9 +141,6 @@
     async fn stopped(self) {}
 }
 
-/// Time has passed.
-pub(super) struct Tick;
-
 impl<P: SharePolicy> Handler<Tick> for Control<P> {
     type Return = ();
 
@@ -144,9 +149,6 @@
     }
 }
 
-/// A peer reports.
-pub(super) struct PeerReport(pub(super) Report);
-
 impl<P: SharePolicy> Handler<PeerReport> for Control<P> {
     type Return = Grant;
 
@@ -155,13 +157,6 @@
     }
 }
 
-/// A call to a peer has ended.
-pub(super) struct ExchangeDone {
-    pub(super) peer: NameHash,
-    pub(super) sent_at: TimeMs,
-    pub(super) outcome: Result<Grant, LinkError>,
-}
-
 impl<P: SharePolicy> Handler<ExchangeDone> for Control<P> {
     type Return = ();
 
@@ -170,9 +165,6 @@
     }
 }
 
-/// The log was read.
-pub(super) struct LogRead(pub(super) LogPage);
-
 impl<P: SharePolicy> Handler<LogRead> for Control<P> {
     type Return = u64;
 
@@ -182,9 +174,6 @@
     }
 }
 
-/// The log can, or cannot, be reached.
-pub(super) struct LogReachable(pub(super) bool);
-
 impl<P: SharePolicy> Handler<LogReachable> for Control<P> {
     type Return = ();
 
@@ -193,9 +182,6 @@
     }
 }
 
-/// The append of a checkpoint has ended.
-pub(super) struct CheckpointDone(pub(super) bool);
-
 impl<P: SharePolicy> Handler<CheckpointDone> for Control<P> {
     type Return = ();
 
@@ -204,9 +190,6 @@
     }
 }
 
-/// The instance list changed.
-pub(super) struct InstancesChanged(pub(super) InstanceList);
-
 impl<P: SharePolicy> Handler<InstancesChanged> for Control<P> {
     type Return = ();
 
@@ -215,9 +198,6 @@
     }
 }
 
-/// A peer sent its bundle.
-pub(super) struct BundleFetched(pub(super) Vec<u8>);
-
 impl<P: SharePolicy> Handler<BundleFetched> for Control<P> {
     type Return = ();
 
@@ -226,9 +206,6 @@
     }
 }
 
-/// A peer asks for the bundle in force.
-pub(super) struct ReadBundle;
-
 impl<P: SharePolicy> Handler<ReadBundle> for Control<P> {
     type Return = Option<(u32, Vec<u8>)>;
 
@@ -242,9 +219,6 @@
     }
 }
 
-/// An operator's tool asks for the content of the bundle in force.
-pub(crate) struct ReadContent;
-
 impl<P: SharePolicy> Handler<ReadContent> for Control<P> {
     type Return = Option<String>;
 
@@ -253,9 +227,6 @@
     }
 }
 
-/// Somebody wants to know how the daemon stands.
-pub(crate) struct ReadStatus;
-
 impl<P: SharePolicy> Handler<ReadStatus> for Control<P> {
     type Return = Status;
 
@@ -266,9 +237,6 @@
     }
 }
 
-/// A planned stop begins.
-pub(crate) struct BeginStop;
-
 impl<P: SharePolicy> Handler<BeginStop> for Control<P> {
     type Return = ();
 
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -88,7 +88,7 @@
             });
             if !is_mine && is_idle {
                 self.allocators.remove(&service);
-                self.domain_seats.retain(|(of, _), _| *of != service);
+                self.domain_assignments.retain(|(of, _), _| *of != service);
                 let name = self
                     .shared
                     .with_directory(|directory| directory.services.name(service).to_owned());
@@ -130,19 +130,19 @@
     }
 
     pub(super) fn is_server_leaving(&self, server: NameHash, now: TimeMs) -> bool {
-        let heard = self.servers_heard_leaving.get(&server);
+        let heard = self.advertised_departures.get(&server);
         self.servers_leaving.contains(&server) || heard.is_some_and(|until| now < *until)
     }
 
     /// Takes a peer's word on leaving servers.
-    pub(super) fn hear_servers_leaving(&mut self, servers: &[NameHash], now: TimeMs) {
+    pub(super) fn receive_departures(&mut self, servers: &[NameHash], now: TimeMs) {
         if servers.is_empty() {
             return;
         }
         let mut is_news = false;
         for server in servers {
             let until = now.plus_ms(HEARSAY_LEAVING_MS);
-            is_news |= self.servers_heard_leaving.insert(*server, until).is_none();
+            is_news |= self.advertised_departures.insert(*server, until).is_none();
         }
         if is_news {
             self.mark_servers_leaving(now);
@@ -151,7 +151,7 @@
     }
 
     pub(super) fn mark_servers_leaving(&mut self, now: TimeMs) {
-        self.servers_heard_leaving.retain(|_, until| now < *until);
+        self.advertised_departures.retain(|_, until| now < *until);
         for (_, service) in self.shared.view.load().services() {
             service.cell.lock().set_leaving(|key| {
                 let server = service.servers.get(&key);
@@ -162,7 +162,7 @@
 
     /// Takes in what changed in the platform's list.
     pub(super) fn take_in_instances(&mut self, list: &InstanceList) {
-        self.forget_errands();
+        self.replan();
         let now = self.shared.clock.now();
         for instance in &list.instances {
             match instance.kind {
@@ -189,7 +189,7 @@
         match state {
             InstanceState::Live => {
                 self.servers_leaving.remove(&server);
-                self.servers_heard_leaving.remove(&server);
+                self.advertised_departures.remove(&server);
             }
             InstanceState::Leaving | InstanceState::Gone => {
                 if self.servers_leaving.insert(server) {
@@ -220,7 +220,7 @@
     /// Begins a planned stop: duties pass on with the next reports, which say so.
     pub(super) fn begin_stop(&mut self) {
         self.stopping = true;
-        self.forget_errands();
+        self.replan();
         for schedule in self.peers.values_mut() {
             schedule.make_due();
         }
--- /dev/null
+++ b/crates/reedsail_daemon/src/control/grant.rs
@@ -0,0 +1,204 @@
+//! Grants: answers to peers' reports, and what a peer's answer to a report changes here.
+
+use reedsail_core::NameHash;
+use reedsail_core::ServiceKey;
+use reedsail_core::TimeMs;
+use reedsail_events::EventKind;
+use reedsail_scheduling::Allocator;
+use reedsail_scheduling::Presence;
+use reedsail_scheduling::ServiceGrant;
+use reedsail_scheduling::SharePolicy;
+use reedsail_wire::Grant;
+use reedsail_wire::Report;
+
+use super::Control;
+use super::messages::ExchangeDone;
+
+/// Interval between reports while much less is granted than is due, in milliseconds. Chosen, not measured.
+const SHORT_INTERVAL_MS: u64 = 250;
+/// Fraction of the due slots below which a grant counts as much less. Chosen, not measured.
+const SHORT_FRACTION: f64 = 0.85;
+/// A lease lasts for this many report intervals, so that one lost report does no harm.
+const LEASE_INTERVALS: u64 = 3;
+
+impl<P: SharePolicy> Control<P> {
+    pub(super) fn answer_report(&mut self, report: &Report) -> Grant {
+        let now = self.shared.clock.now();
+        self.exchanges += 1;
+        self.shared.events.observe(report.clock);
+        self.note_peer(report, now);
+        let interval_ms = self.pacer.interval_ms(self.exchange_pairs(now));
+        let lease_ms = (interval_ms * LEASE_INTERVALS).max(self.shared.settings.control.lease_ms);
+        let mut services = Vec::new();
+        for (service, row) in &report.services {
+            let allocator = self.allocator_mut(*service, now);
+            allocator.set_lease_ms(lease_ms);
+            // A leaving daemon is served until its last request is finished.
+            if report.leaving && row.demands.is_empty() {
+                allocator.remove_member(report.sender);
+                continue;
+            }
+            services.push((*service, allocator.on_report(report.sender, row, now)));
+        }
+        let mut leaving: Vec<NameHash> = self.servers_leaving.iter().copied().collect();
+        leaving.sort();
+        Grant {
+            incarnation: self.shared.incarnation,
+            clock: self.shared.events.clock(),
+            next_report_ms: interval_ms as u32,
+            lease_ms: lease_ms as u32,
+            services,
+            leaving,
+        }
+    }
+
+    fn note_peer(&mut self, report: &Report, now: TimeMs) {
+        let sender = report.sender;
+        if report.leaving {
+            if self.membership.presence(sender, now) != Presence::Leaving {
+                let name = self.membership.name(sender).unwrap_or("unknown");
+                self.shared.events.emit(EventKind::PeerLeaving, &[("peer", name)]);
+            }
+            self.membership.leave(sender);
+            self.replan();
+        } else if self.membership.hear(sender, now) {
+            self.emit_alive(sender);
+        }
+        self.peers.entry(sender).or_default().reported_at = now;
+        for suspect in &report.suspects {
+            if *suspect != self.own_name {
+                self.membership.suspect_by_hearsay(*suspect, now);
+            }
+        }
+        self.receive_departures(&report.servers_leaving, now);
+        self.note_peer_version(sender, report.bundle_version, now);
+    }
+
+    fn emit_alive(&mut self, peer: NameHash) {
+        self.replan();
+        let name = self.membership.name(peer).unwrap_or("unknown");
+        self.shared.events.emit(EventKind::PeerAlive, &[("peer", name)]);
+    }
+
+    pub(super) fn conclude_exchange(&mut self, done: ExchangeDone) {
+        let now = self.shared.clock.now();
+        let grant = match done.outcome {
+            Ok(grant) => grant,
+            Err(error) => {
+                self.note_no_answer(done.peer, &error.to_string(), now);
+                return;
+            }
+        };
+        if self.membership.hear(done.peer, now) {
+            self.emit_alive(done.peer);
+        }
+        self.shared.events.observe(grant.clock);
+        self.receive_departures(&grant.leaving, now);
+        let own_interval_ms = self.pacer.interval_ms(self.exchange_pairs(now));
+        let mut interval_ms = own_interval_ms.max(u64::from(grant.next_report_ms));
+        let lease_deadline = done.sent_at.plus_ms(u64::from(grant.lease_ms));
+        for (service, row) in &grant.services {
+            let is_own_assignment = self
+                .assignments
+                .get(service)
+                .is_some_and(|assignment| assignment.peer == done.peer);
+            if is_own_assignment {
+                self.take_leases(*service, row, grant.incarnation, lease_deadline);
+            } else {
+                self.borrow_slots(*service, done.peer, row, grant.incarnation, lease_deadline);
+            }
+        }
+        let is_idle = |(service, row): &(ServiceKey, ServiceGrant)| {
+            row.virtual_times.is_empty() && self.allocators.get(service).is_none_or(Allocator::is_idle)
+        };
+        if grant.services.iter().all(is_idle) {
+            // Nothing waits, runs or was charged: it is enough that leases do not lapse.
+            interval_ms = interval_ms.max(u64::from(grant.lease_ms) * 2 / 5);
+        } else if self.is_short_of_slots(&grant) {
+            interval_ms = interval_ms.min(SHORT_INTERVAL_MS);
+        }
+        // Whatever the budget says, a lease is renewed before it lapses.
+        interval_ms = interval_ms.min(u64::from(grant.lease_ms) / 2);
+        let schedule = self.peers.entry(done.peer).or_default();
+        schedule.in_flight = false;
+        schedule.next_report_at = done.sent_at.plus_ms(interval_ms);
+    }
+
+    fn is_short_of_slots(&self, grant: &Grant) -> bool {
+        grant.services.iter().any(|(service, row)| {
+            let granted: u32 = row.leases.iter().map(|lease| lease.slots).sum();
+            let shares: f64 = row.shares().map(|(_, share)| share).sum();
+            let lacking = self.allocators.get(service).map_or(0.0, Allocator::lacking_slots);
+            let is_member = !row.virtual_times.is_empty();
+            let due = if is_member {
+                shares
+            } else {
+                f64::from(granted) + lacking
+            };
+            f64::from(granted) < due * SHORT_FRACTION - 1.0
+        })
+    }
+
+    fn take_leases(
+        &mut self,
+        service: ServiceKey,
+        grant: &ServiceGrant,
+        incarnation: u32,
+        lease_deadline: TimeMs,
+    ) {
+        let view = self.shared.view.load();
+        let Some(found) = view.service(service) else {
+            return;
+        };
+        let mut scheduler = found.cell.lock();
+        if let Some(assignment) = self.assignments.get_mut(&service) {
+            if assignment.incarnation.is_some_and(|known| known != incarnation) {
+                scheduler.begin_session(rand::random());
+            }
+            assignment.incarnation = Some(incarnation);
+        }
+        scheduler.apply_grant(grant, lease_deadline);
+        drop(scheduler);
+        found.cell.dispatch();
+    }
+
+    fn borrow_slots(
+        &mut self,
+        service: ServiceKey,
+        peer: NameHash,
+        grant: &ServiceGrant,
+        incarnation: u32,
+        lease_deadline: TimeMs,
+    ) {
+        let Some(allocator) = self.allocators.get_mut(&service) else {
+            return;
+        };
+        allocator.apply_domain_grant(peer, grant, lease_deadline);
+        let assignments = self.domain_assignments.iter_mut();
+        for (_, assignment) in
+            assignments.filter(|((of, _), assignment)| *of == service && assignment.peer == peer)
+        {
+            if assignment.incarnation.is_some_and(|known| known != incarnation) {
+                allocator.begin_domain_session(peer, rand::random());
+            }
+            assignment.incarnation = Some(incarnation);
+        }
+    }
+
+    fn note_no_answer(&mut self, peer: NameHash, error: &str, now: TimeMs) {
+        self.replan();
+        if self.membership.suspect(peer, now) {
+            let name = self.membership.name(peer).unwrap_or("unknown");
+            let fields = [("peer", name), ("error", error)];
+            self.shared.events.emit(EventKind::PeerSuspected, &fields);
+        }
+        if let Some(schedule) = self.peers.get_mut(&peer) {
+            schedule.in_flight = false;
+            schedule.next_report_at = now;
+        }
+        for allocator in self.allocators.values_mut() {
+            allocator.forget_borrowed(peer);
+        }
+        self.publish_domain_daemons(now);
+    }
+}
--- a/crates/reedsail_daemon/src/control/links.rs
+++ b/crates/reedsail_daemon/src/control/links.rs
@@ -8,7 +8,6 @@
 use std::time::Duration;
 
 use reedsail_core::NameHash;
-use reedsail_core::TimeMs;
 use reedsail_log_client::PlatformClient;
 use reedsail_scheduling::SharePolicy;
 use reedsail_wire::ClaimEnd;
@@ -24,38 +23,17 @@
 use xtra::Address;
 
 use super::Control;
-use super::actor::BundleFetched;
-use super::actor::CheckpointDone;
-use super::actor::ExchangeDone;
+use super::messages::BundleFetched;
+use super::messages::CheckpointDone;
+use super::messages::ExchangeDone;
+use super::messages::LinkAction;
+use super::messages::PeerAddress;
 use super::platform_tasks::BUNDLE_STREAM;
 use crate::shared::Shared;
 
 /// How long a call that settles claims may take: the writer's own limit and some way.
 const CLAIM_LIMIT_MS: u64 = 2_500;
 
-/// Where a peer takes calls.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct PeerAddress {
-    pub(crate) name: NameHash,
-    pub(crate) instance: String,
-    pub(crate) address: SocketAddr,
-}
-
-/// What the actor wants done.
-#[derive(Debug)]
-pub(crate) enum LinkAction {
-    /// Report to a peer.
-    Exchange {
-        peer: PeerAddress,
-        report: Box<Report>,
-        sent_at: TimeMs,
-    },
-    /// Fetch a peer's bundle.
-    FetchBundle { peer: PeerAddress, known_version: u32 },
-    /// Repeat the version in force in the log.
-    AppendCheckpoint(Vec<u8>),
-}
-
 /// The connections by peer and time limit.
 type OpenLinks = HashMap<(NameHash, u64), (SocketAddr, Rc<PeerLink>)>;
 
@@ -161,7 +139,7 @@
     }
 }
 
-/// Carries out the actor's wishes, each in a task of its own.
+/// Does what the actor asks for, each action in a task of its own.
 pub(super) async fn run_links<P: SharePolicy>(
     links: Links<P>,
     platform: Rc<PlatformClient>,
@@ -186,16 +164,19 @@
                         sent_at,
                         outcome,
                     };
+                    // The actor ends only with the daemon.
                     let _ = control.send(done).await;
                 }
                 LinkAction::FetchBundle { peer, known_version } => {
                     if let Ok(Some(record)) = links.fetch_bundle(&peer, known_version).await {
+                        // The actor ends only with the daemon.
                         let _ = control.send(BundleFetched(record)).await;
                     }
                 }
                 LinkAction::AppendCheckpoint(record) => {
                     // A lost answer does no harm: a second copy folds to nothing.
                     let appended = platform.append(BUNDLE_STREAM, record).await.is_ok();
+                    // The actor ends only with the daemon.
                     let _ = control.send(CheckpointDone(appended)).await;
                 }
             }
--- a/crates/reedsail_daemon/src/control/mod.rs
+++ b/crates/reedsail_daemon/src/control/mod.rs
@@ -5,19 +5,23 @@
 
 mod actor;
 mod allocation;
-mod exchange;
+mod grant;
 mod links;
+mod messages;
+mod pacing;
 mod peer_service;
 mod platform_tasks;
+mod report;
+mod report_plan;
 mod roll_out;
 mod thread;
 mod thread_time;
 
-pub(crate) use actor::BeginStop;
 pub(crate) use actor::Control;
-pub(crate) use actor::ReadContent;
-pub(crate) use actor::ReadStatus;
 pub(crate) use links::Links;
-pub(crate) use links::PeerAddress;
+pub(crate) use messages::BeginStop;
+pub(crate) use messages::PeerAddress;
+pub(crate) use messages::ReadContent;
+pub(crate) use messages::ReadStatus;
 pub(crate) use thread::ControlThread;
 pub(crate) use thread::run_control;
--- a/crates/reedsail_daemon/src/control/peer_service.rs
+++ b/crates/reedsail_daemon/src/control/peer_service.rs
@@ -13,8 +13,8 @@
 use xtra::Address;
 
 use super::Control;
-use super::actor::PeerReport;
-use super::actor::ReadBundle;
+use super::messages::PeerReport;
+use super::messages::ReadBundle;
 use crate::claims::ClaimRouter;
 use crate::shared::Shared;
 
--- a/crates/reedsail_daemon/src/control/platform_tasks.rs
+++ b/crates/reedsail_daemon/src/control/platform_tasks.rs
@@ -9,9 +9,9 @@
 use xtra::Address;
 
 use super::Control;
-use super::actor::InstancesChanged;
-use super::actor::LogReachable;
-use super::actor::LogRead;
+use super::messages::InstancesChanged;
+use super::messages::LogReachable;
+use super::messages::LogRead;
 
 /// The stream of bundle records.
 pub(super) const BUNDLE_STREAM: &str = "bundles";
--- /dev/null
+++ b/crates/reedsail_daemon/src/control/report_plan.rs
@@ -0,0 +1,36 @@
+//! Which reports are due: the allocator of each service, the schedule of each peer.
+
+use reedsail_core::NameHash;
+use reedsail_core::ServiceKey;
+use reedsail_core::TimeMs;
+
+/// The allocator that a service is reported to, and which start of it knows the counters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Assignment {
+    pub(super) peer: NameHash,
+    pub(super) incarnation: Option<u32>,
+}
+
+/// When a peer is to be reported to.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct PeerSchedule {
+    pub(super) next_report_at: TimeMs,
+    pub(super) sent_at: TimeMs,
+    pub(super) in_flight: bool,
+    /// When the peer last reported here.
+    pub(super) reported_at: TimeMs,
+}
+
+impl PeerSchedule {
+    /// Has the next report sent at once.
+    pub(super) fn make_due(&mut self) {
+        self.next_report_at = TimeMs(0);
+    }
+}
+
+/// The services that one peer is to be sent reports on.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ReportPlan {
+    pub(super) services: Vec<ServiceKey>,
+    pub(super) domain_services: Vec<(ServiceKey, NameHash)>,
+}
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -17,7 +17,7 @@
 use reedsail_scheduling::rank_by_rendezvous;
 
 use super::Control;
-use super::links::LinkAction;
+use super::messages::LinkAction;
 use crate::service_cell::ServiceCell;
 use crate::stage::Stage;
 use crate::view::View;
@@ -28,7 +28,7 @@
 const LOG_GIVEN_UP_AFTER_MS: u64 = 1_000;
 /// How often a daemon that does not know the bundle in force asks the next peer, in ticks.
 const FETCH_EVERY_TICKS: u64 = 10;
-/// The duty of repeating the version in force in the log.
+/// The role of repeating the version in force in the log.
 const CHECKPOINT_DUTY: u64 = 0x6368_6563_6b70_6f69;
 
 impl<P: SharePolicy> Control<P> {
@@ -125,7 +125,7 @@
     }
 
     fn after_bundle_change(&mut self) {
-        self.forget_errands();
+        self.replan();
         let now = self.shared.clock.now();
         self.mark_servers_leaving(now);
         self.refresh_allocators(now);
--- a/crates/reedsail_daemon/src/control/thread.rs
+++ b/crates/reedsail_daemon/src/control/thread.rs
@@ -20,8 +20,8 @@
 
 use super::Control;
 use super::Links;
-use super::actor::Tick;
 use super::links::run_links;
+use super::messages::Tick;
 use super::peer_service::PeerService;
 use super::platform_tasks::follow_bundles;
 use super::platform_tasks::follow_instances;
--- a/crates/reedsail_daemon/src/lib.rs
+++ b/crates/reedsail_daemon/src/lib.rs
@@ -7,6 +7,7 @@
 mod running;
 mod service_cell;
 mod settings;
+mod settings_reader;
 mod shared;
 mod stage;
 mod traffic;
--- a/crates/reedsail_daemon/src/traffic/backend.rs
+++ b/crates/reedsail_daemon/src/traffic/backend.rs
@@ -33,9 +33,9 @@
 /// How long connecting to a server may take.
 const CONNECT_LIMIT_MS: u64 = 500;
 /// The most tries of one request that may have reached a server, the first included.
-const SENT_TRIES_MAX: usize = 4;
+const SENT_ATTEMPTS_MAX: usize = 4;
 /// The most tries in all; one that reached nobody costs little, and a cut hides many servers.
-const TRIES_MAX: usize = 32;
+const ATTEMPTS_MAX: usize = 32;
 
 /// The head of an answer, with all that is needed to read on.
 pub(crate) struct Answering {
@@ -47,7 +47,7 @@
 }
 
 /// Whether one try reached the server, and what came of it.
-enum Try {
+enum AttemptResult {
     Answered(Box<Answering>),
     /// Nothing was written: any call may go elsewhere.
     NotSent(Unsent),
@@ -56,14 +56,14 @@
 }
 
 /// The proofs of a request that is tried more than once.
-pub(crate) enum Standing {
+pub(crate) enum AttemptsSoFar {
     /// No try has written a byte.
     Unsent(Unsent),
     /// A try may have.
     Sent(Sent),
 }
 
-impl Standing {
+impl AttemptsSoFar {
     fn fail(self, unsent_kind: ErrorKind, sent_kind: ErrorKind) -> Failure {
         match self {
             Self::Unsent(unsent) => unsent.refuse(unsent_kind),
@@ -80,35 +80,30 @@
     pool: &Pool,
     call: &Call<P>,
     slot: &mut Slot<P>,
-    mut standing: Standing,
+    mut so_far: AttemptsSoFar,
     resume_from: u64,
     mut tried: Vec<ServerKey>,
 ) -> Result<Answering, Failure> {
     let mut last_kind = ErrorKind::NoBackend;
-    let mut sent_tries = 0;
-    for _ in 0..TRIES_MAX {
+    let mut sent_attempts = 0;
+    for _ in 0..ATTEMPTS_MAX {
         let Some(server) = slot.server() else { break };
         // A later try of a call of which bytes were sent proves nothing about the earlier one.
-        let was_sent = matches!(standing, Standing::Sent(_));
-        match try_once(shared, pool, call, server, resume_from).await {
-            Try::Answered(answering) => return Ok(*answering),
-            Try::NotSent(unsent) => {
+        let was_sent = matches!(so_far, AttemptsSoFar::Sent(_));
+        match attempt_once(shared, pool, call, server, resume_from).await {
+            AttemptResult::Answered(answering) => return Ok(*answering),
+            AttemptResult::NotSent(unsent) => {
                 if !was_sent {
-                    standing = Standing::Unsent(unsent);
+                    so_far = AttemptsSoFar::Unsent(unsent);
                 }
                 note_failure(shared, call, server);
             }
-            Try::Failed(sent, kind) => {
-                standing = Standing::Sent(sent);
+            AttemptResult::Failed(sent, kind) => {
+                so_far = AttemptsSoFar::Sent(sent);
                 last_kind = kind;
-                sent_tries += 1;
+                sent_attempts += 1;
                 note_failure(shared, call, server);
-                let may_repeat = call.repeat == Repeat::Allowed && shared.clock.now() < call.deadline;
-                let is_owed = resume_from > 0;
-                if !may_repeat
-                    || sent_tries >= SENT_TRIES_MAX
-                    || !(is_owed || call.service.cell.spend_retry())
-                {
+                if !may_send_again(shared, call, resume_from, sent_attempts) {
                     break;
                 }
             }
@@ -117,18 +112,35 @@
         if !move_slot(shared, call, slot, &tried).await {
             break;
         }
-        let cause = if matches!(standing, Standing::Unsent(_)) {
-            "not_sent"
-        } else {
-            last_kind.name()
+        let cause = match so_far {
+            AttemptsSoFar::Unsent(_) => "not_sent",
+            AttemptsSoFar::Sent(_) => last_kind.name(),
         };
-        shared.metrics.retries.with_label_values(&[cause]).inc();
-        if shared.settings.timeline.requests {
-            let fields = [("request", call.id.as_str()), ("cause", cause)];
-            shared.events.emit(EventKind::RequestRetried, &fields);
-        }
+        note_retry(shared, call, cause);
+    }
+    Err(so_far.fail(ErrorKind::NoBackend, last_kind))
+}
+
+/// Tells whether a call of which bytes were sent may be sent once more. A resumed stream is owed its end,
+/// so it costs nothing of the retry budget.
+fn may_send_again<P: SharePolicy>(
+    shared: &Shared<P>,
+    call: &Call<P>,
+    resume_from: u64,
+    sent_attempts: usize,
+) -> bool {
+    call.repeat == Repeat::Allowed
+        && shared.clock.now() < call.deadline
+        && sent_attempts < SENT_ATTEMPTS_MAX
+        && (resume_from > 0 || call.service.cell.spend_retry())
+}
+
+fn note_retry<P: SharePolicy>(shared: &Shared<P>, call: &Call<P>, cause: &str) {
+    shared.metrics.retries.with_label_values(&[cause]).inc();
+    if shared.settings.timeline.requests {
+        let fields = [("request", call.id.as_str()), ("cause", cause)];
+        shared.events.emit(EventKind::RequestRetried, &fields);
     }
-    Err(standing.fail(ErrorKind::NoBackend, last_kind))
 }
 
 fn note_failure<P: SharePolicy>(shared: &Shared<P>, call: &Call<P>, server: ServerKey) {
@@ -166,19 +178,19 @@
     }
 }
 
-async fn try_once<P: SharePolicy>(
+async fn attempt_once<P: SharePolicy>(
     shared: &Shared<P>,
     pool: &Pool,
     call: &Call<P>,
     server: ServerKey,
     resume_from: u64,
-) -> Try {
+) -> AttemptResult {
     let unsent = Unsent::new();
     let Some(view) = call.service.servers.get(&server) else {
-        return Try::NotSent(unsent);
+        return AttemptResult::NotSent(unsent);
     };
     if shared.gate.is_cut(&shared.settings.instance, &view.name) {
-        return Try::NotSent(unsent);
+        return AttemptResult::NotSent(unsent);
     }
     let address = view.address;
     let deadline = shared.clock.instant(call.deadline);
@@ -190,19 +202,19 @@
             Exchange::Head(sent, response, connection) => {
                 return check_head(call, sent, *response, connection, address, server);
             }
-            Exchange::Failed(sent, kind) => return Try::Failed(sent, kind),
+            Exchange::Failed(sent, kind) => return AttemptResult::Failed(sent, kind),
         },
         None => (request, unsent),
     };
     let Some(connection) = HttpConnection::open_ready(address, CONNECT_LIMIT_MS).await else {
-        return Try::NotSent(unsent);
+        return AttemptResult::NotSent(unsent);
     };
     match exchange(connection, request, unsent, deadline).await {
-        Exchange::HandedBack(unsent, _) => Try::NotSent(unsent),
+        Exchange::HandedBack(unsent, _) => AttemptResult::NotSent(unsent),
         Exchange::Head(sent, response, connection) => {
             check_head(call, sent, *response, connection, address, server)
         }
-        Exchange::Failed(sent, kind) => Try::Failed(sent, kind),
+        Exchange::Failed(sent, kind) => AttemptResult::Failed(sent, kind),
     }
 }
 
@@ -214,12 +226,12 @@
     connection: HttpConnection,
     address: SocketAddr,
     server: ServerKey,
-) -> Try {
+) -> AttemptResult {
     let echoed = response.headers().get(REQUEST_ID_HEADER);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != call.id.as_bytes()) {
-        return Try::Failed(sent, ErrorKind::AnswerMismatched);
+        return AttemptResult::Failed(sent, ErrorKind::AnswerMismatched);
     }
-    Try::Answered(Box::new(Answering {
+    AttemptResult::Answered(Box::new(Answering {
         sent,
         response,
         connection,
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -7,6 +7,7 @@
 use hyper::Method;
 use hyper::Request;
 use hyper::body::Incoming;
+use hyper::http::request::Parts;
 use reedsail_bundle::KeyRule;
 use reedsail_bundle::Repeat;
 use reedsail_core::ErrorKind;
@@ -68,15 +69,7 @@
     check_header_size(&parts.headers, shared.settings.limits.header_bytes_max)?;
     let digest = headers::key_digest(&parts.headers).ok_or((ErrorKind::UnknownKey, None))?;
     let (workspace, described) = view.identify(&digest).ok_or((ErrorKind::UnknownKey, None))?;
-    let path = parts.uri.path();
-    let is_chat = path == CHAT_PATH;
-    let plain_service = view.service_of_path(path).cloned();
-    if !is_chat && plain_service.is_none() {
-        return Err((ErrorKind::UnknownRoute, None));
-    }
-    if is_chat && parts.method != Method::POST {
-        return Err((ErrorKind::MethodNotAllowed, None));
-    }
+    let target = find_target(&view, &parts)?;
     let limits = &shared.settings.limits;
     let class =
         headers::class(&parts.headers, described.workspace.default_class).map_err(|kind| (kind, None))?;
@@ -91,19 +84,9 @@
     let body = read_body(body, limits.body_bytes_max)
         .await
         .map_err(|kind| (kind, None))?;
-    let mut prefix = None;
-    let mut wants_stream = false;
-    let service = match plain_service {
-        Some(service) if !is_chat => service,
-        _ => {
-            let head: ChatHead<'_> = serde_json::from_slice(&body).map_err(|_| (ErrorKind::BadJson, None))?;
-            prefix = head.prefix();
-            wants_stream = head.stream;
-            let found = view.service_of_model(&head.model);
-            Arc::clone(found.ok_or((ErrorKind::UnknownModel, None))?)
-        }
-    };
-    let (repeat, key_rule) = service.service.rule_for(parts.method.as_str(), path);
+    let chosen = choose_service(&view, target, &body)?;
+    let path = parts.uri.path();
+    let (repeat, key_rule) = chosen.service.service.rule_for(parts.method.as_str(), path);
     let key = match repeat {
         Repeat::Never => read_key(&parts.headers, key_rule, shared.settings.claims.retention_ms)?,
         Repeat::Allowed => None,
@@ -127,12 +110,63 @@
         method: parts.method,
         headers: passed_on,
         body,
-        prefix,
-        wants_stream,
-        service,
+        prefix: chosen.prefix,
+        wants_stream: chosen.wants_stream,
+        service: chosen.service,
     })
 }
 
+/// What a path leads to.
+enum Target<P: SharePolicy> {
+    /// The service of the path.
+    Plain(Arc<ServiceView<P>>),
+    /// The service of the model that the body names.
+    Chat,
+}
+
+/// The service of a call, with what its body says.
+struct Chosen<P: SharePolicy> {
+    service: Arc<ServiceView<P>>,
+    prefix: Option<u64>,
+    wants_stream: bool,
+}
+
+fn find_target<P: SharePolicy>(view: &View<P>, parts: &Parts) -> Result<Target<P>, Refusal> {
+    let path = parts.uri.path();
+    if path == CHAT_PATH {
+        if parts.method != Method::POST {
+            return Err((ErrorKind::MethodNotAllowed, None));
+        }
+        return Ok(Target::Chat);
+    }
+    let service = view.service_of_path(path).cloned();
+    service.map(Target::Plain).ok_or((ErrorKind::UnknownRoute, None))
+}
+
+fn choose_service<P: SharePolicy>(
+    view: &View<P>,
+    target: Target<P>,
+    body: &[u8],
+) -> Result<Chosen<P>, Refusal> {
+    match target {
+        Target::Plain(service) => Ok(Chosen {
+            service,
+            prefix: None,
+            wants_stream: false,
+        }),
+        Target::Chat => {
+            let head: ChatHead<'_> =
+                serde_json::from_slice(body).map_err(|_invalid| (ErrorKind::BadJson, None))?;
+            let found = view.service_of_model(&head.model);
+            Ok(Chosen {
+                service: Arc::clone(found.ok_or((ErrorKind::UnknownModel, None))?),
+                prefix: head.prefix(),
+                wants_stream: head.stream,
+            })
+        }
+    }
+}
+
 fn check_stage<P: SharePolicy>(shared: &Shared<P>, view: &View<P>) -> Result<(), Refusal> {
     match shared.stage.get() {
         Stage::Starting => Err((ErrorKind::NotReady, None)),
--- a/crates/reedsail_daemon/src/traffic/serve.rs
+++ b/crates/reedsail_daemon/src/traffic/serve.rs
@@ -19,7 +19,7 @@
 use super::Pool;
 use super::answer::AnswerBody;
 use super::answer::failure_answer;
-use super::backend::Standing;
+use super::backend::AttemptsSoFar;
 use super::backend::send_call;
 use super::call::Call;
 use super::call::read_call;
@@ -122,10 +122,10 @@
         Err(kind) => return Err(unsent.refuse(kind)),
     };
     note_dispatch(&shared, &call, slot.server());
-    let mut standing = Standing::Unsent(unsent);
+    let mut so_far = AttemptsSoFar::Unsent(unsent);
     let mut tried = Vec::new();
     loop {
-        let answering = send_call(&shared, &pool, &call, &mut slot, standing, 0, tried.clone()).await?;
+        let answering = send_call(&shared, &pool, &call, &mut slot, so_far, 0, tried.clone()).await?;
         note_first_byte(&shared, &call);
         if is_stream(&call, &answering) {
             return Ok(relay_stream(shared, pool, call, slot, answering, open));
@@ -151,7 +151,7 @@
             .inc();
         tried.push(broken.server);
         slot.restart(&tried);
-        standing = Standing::Sent(broken.sent);
+        so_far = AttemptsSoFar::Sent(broken.sent);
     }
 }
 
--- a/crates/reedsail_daemon/src/traffic/stream.rs
+++ b/crates/reedsail_daemon/src/traffic/stream.rs
@@ -22,7 +22,7 @@
 use super::answer::AnswerBody;
 use super::answer::AnswerBroken;
 use super::backend::Answering;
-use super::backend::Standing;
+use super::backend::AttemptsSoFar;
 use super::backend::send_call;
 use super::call::Call;
 use super::chat::StreamEvent;
@@ -236,13 +236,13 @@
     async fn go_on(&mut self, tried: Vec<ServerKey>) -> Option<Answering> {
         self.splitter.clear();
         let slot = self.slot.as_mut()?;
-        let standing = Standing::Unsent(Unsent::new());
+        let so_far = AttemptsSoFar::Unsent(Unsent::new());
         send_call(
             &self.shared,
             &self.pool,
             &self.call,
             slot,
-            standing,
+            so_far,
             self.tokens,
             tried,
         )
