--- a/crates/reedsail_events/src/event_log.rs
+++ b/crates/reedsail_events/src/event_log.rs
@@ -115,5 +115,6 @@
 fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
+        // A wall clock before 1970 shows as zero in the line; nothing decides by it.
         .map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/reedsail_events/src/lib.rs
+++ b/crates/reedsail_events/src/lib.rs
@@ -1,5 +1,7 @@
-//! The time line: numbered events with a logical clock, so that those of all processes can be put
-//! into one order in which a cause comes before its effect.
+//! Numbered log events with a logical clock, so that those of all processes can be put into one order in
+//! which a cause comes before its effect.
+//!
+//! Owns the closed list of events, the budget of lines a second, and the thread that writes lines.
 
 mod chrome_trace;
 mod event;
--- a/crates/reedsail_events/src/line_sink.rs
+++ b/crates/reedsail_events/src/line_sink.rs
@@ -13,11 +13,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The most lines that wait to be written; further ones are counted and left out.
+/// Lines that wait to be written at most; further ones are counted and dropped. Chosen, not measured.
 const LINES_MAX: usize = 2_048;
-/// How long lines are gathered before they are written together.
+/// Time for which lines are gathered before they are written together, in milliseconds: one write call for
+/// many lines. Chosen, not measured.
 const GATHER_MS: u64 = 250;
-/// How often the closing side looks whether everything is written.
+/// Interval at which the closing side checks whether everything is written, in milliseconds.
 const CLOSE_POLL_MS: u64 = 5;
 
 /// What the two sides and the closing one know of each other.
@@ -116,7 +117,7 @@
             text.extend_from_slice(&line);
             count += 1;
         }
-        // Whoever reads the log may be gone; the daemon goes on.
+        // The reader of the log may be gone; the process goes on without it.
         let _ = output.write_all(&text).and_then(|()| output.flush());
         progress.written.fetch_add(count, Ordering::AcqRel);
     }
--- a/crates/reedsail_net/src/clock.rs
+++ b/crates/reedsail_net/src/clock.rs
@@ -6,6 +6,9 @@
 
 use reedsail_core::TimeMs;
 
+/// The moment at which a process begins, in milliseconds.
+const START_MS: u64 = 1_000;
+
 /// Tells the moment since the process began, and the wall clock's time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -21,15 +24,15 @@
 }
 
 impl Clock {
-    /// Returns the present moment, on the monotonic clock. It starts at 1 s, so that the
-    /// zero moment is always past.
+    /// Returns the present moment, on the monotonic clock. It starts at [`START_MS`], so that the zero
+    /// moment is always past.
     pub fn now(&self) -> TimeMs {
-        TimeMs(1_000 + self.started.elapsed().as_millis() as u64)
+        TimeMs(START_MS + self.started.elapsed().as_millis() as u64)
     }
 
     /// Returns the moment as the runtime's timer wants it.
     pub fn instant(&self, moment: TimeMs) -> tokio::time::Instant {
-        let since_start_ms = moment.0.saturating_sub(1_000);
+        let since_start_ms = moment.0.saturating_sub(START_MS);
         tokio::time::Instant::from_std(self.started + std::time::Duration::from_millis(since_start_ms))
     }
 
--- a/crates/reedsail_net/src/connection_pool.rs
+++ b/crates/reedsail_net/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers that wait for their next request; one pool for each thread.
+//! Idle connections to backend servers; one pool for each traffic thread.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -10,9 +10,11 @@
 
 use crate::HttpConnection;
 
-/// How long a connection rests at most where the server does not say.
+/// Time that a connection rests at most where the server does not say, in milliseconds. Chosen, not
+/// measured.
 const IDLE_DEFAULT_MS: u64 = 4_000;
-/// A connection is given up so long before the server would close it.
+/// Margin before the moment at which the server would close an idle connection, in milliseconds. Chosen,
+/// not measured.
 const IDLE_MARGIN_MS: u64 = 700;
 
 #[derive(Debug)]
@@ -73,9 +75,11 @@
 
 /// Reads for how long the server keeps an idle connection.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
+    // A header that cannot be read says nothing, and the default applies.
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameter = text
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))?;
+    // The same for a number.
     Some(parameter.trim().parse::<u64>().ok()?.saturating_mul(1_000))
 }
--- a/crates/reedsail_net/src/http_connection.rs
+++ b/crates/reedsail_net/src/http_connection.rs
@@ -54,9 +54,11 @@
     /// Connects within `limit_ms` milliseconds, until a request can be sent; `None` if that fails.
     pub async fn open_ready(address: SocketAddr, limit_ms: u64) -> Option<Self> {
         let opening = async {
+            // Why it failed does not matter to the caller: the server is unreachable either way.
             let mut connection = Self::open(address, limit_ms, ByteCounter::default()).await.ok()?;
             connection.ready().await.then_some(connection)
         };
+        // The same for one that takes too long.
         timeout(Duration::from_millis(limit_ms), opening).await.ok()?
     }
 
--- a/crates/reedsail_net/src/lib.rs
+++ b/crates/reedsail_net/src/lib.rs
@@ -1,4 +1,7 @@
-//! Sockets as every part of the project uses them: counted, undelayed, and with faults on demand.
+//! Sockets, HTTP connections and threads as both programs use them.
+//!
+//! Owns no state but that of connections; relies on `reedsail_core` for time and error kinds. `NetGate`
+//! cuts links between parts of one process in tests.
 
 mod byte_counter;
 mod clock;
--- a/crates/reedsail_net/src/listen.rs
+++ b/crates/reedsail_net/src/listen.rs
@@ -1,11 +1,11 @@
-//! Listens for connections.
+//! Binds listening sockets, with a fault that names the address.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
 
 use anyhow::Context as _;
 
-/// Connections that may wait to be accepted.
+/// Connections that may wait to be accepted. Chosen, not measured.
 const BACKLOG: i32 = 1_024;
 
 /// Listens on an address, for a runtime that does not block; port 0 takes any free one.
--- a/crates/reedsail_net/src/net_gate.rs
+++ b/crates/reedsail_net/src/net_gate.rs
@@ -77,6 +77,7 @@
             return false;
         }
         let rules = self.0.rules.lock().unwrap_or_else(PoisonError::into_inner);
+        // A party without a group is in none, and nothing cuts it off.
         let group = |party: &str| rules.groups.get(party).cloned().unwrap_or_default();
         let (from_group, to_group) = (group(from), group(to));
         let pairs = [
--- a/crates/reedsail_net/src/pages.rs
+++ b/crates/reedsail_net/src/pages.rs
@@ -1,4 +1,4 @@
-//! Serves small pages, for readers that are not the daemon's callers.
+//! Serves small pages to readers that are not callers: the balancer, operators, peers.
 
 use std::convert::Infallible;
 
@@ -21,6 +21,7 @@
     A: Future<Output = Result<Response<Full<Bytes>>, Infallible>> + 'static,
 {
     loop {
+        // A connection that broke before it was taken concerns nobody.
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
