--- a/crates/reedsail_dispatch/src/lib.rs
+++ b/crates/reedsail_dispatch/src/lib.rs
@@ -64,6 +64,7 @@
 pub use overload::open_requests_max;
 pub use retry::ATTEMPTS_MAX;
 pub use retry::AttemptFailure;
+pub use retry::RESUMES_MAX;
 pub use retry::RetryPolicy;
 pub use retry::RetryVerdict;
 pub use retry::RetryWindow;
--- a/crates/reedsail_dispatch/src/retry.rs
+++ b/crates/reedsail_dispatch/src/retry.rs
@@ -27,6 +27,8 @@
 
 /// Attempts of one request at most, those that reached no server included. Chosen, not measured.
 pub const ATTEMPTS_MAX: usize = 6;
+/// Times that one stream goes on elsewhere at most. Chosen, not measured.
+pub const RESUMES_MAX: usize = 3;
 /// Buckets of a window.
 const BUCKETS: usize = 10;
 /// Fewest instances that the fleet's slack is divided among, so that one that knows no peers does not
--- a/crates/reedsail_net/src/clock.rs
+++ b/crates/reedsail_net/src/clock.rs
@@ -24,7 +24,7 @@
 }
 
 impl Clock {
-    /// Returns the present moment, on the monotonic clock. It starts at [`START_MS`], so that the zero
+    /// Returns the present moment, on the monotonic clock. It starts at one second, so that the zero
     /// moment is always past.
     pub fn now(&self) -> TimeMs {
         TimeMs(START_MS + self.started.elapsed().as_millis() as u64)
--- a/crates/reedsail_router/src/control/follow.rs
+++ b/crates/reedsail_router/src/control/follow.rs
@@ -71,44 +71,47 @@
     let mut pause = Pause::new();
     loop {
         wait_for_turn(&control, StoreTopic::Configuration).await;
-        let asked_at = clock.now();
-        let limit = Duration::from_millis(WAIT_MS + ANSWER_MS);
-        let outcome = timeout(limit, source.next(WAIT_MS)).await;
-        let outcome =
-            outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer in time".to_owned())));
-        let fault = match outcome {
-            Ok(Some(configuration)) => {
-                let read = ConfigurationRead {
-                    configuration,
-                    origin: Origin::Store,
-                };
-                // The actor ends only with the instance.
-                let _ = control.send(read).await;
-                None
-            }
-            Ok(None) => {
-                // A store that answers at once instead of holding the call is asked no more often.
-                sleep_until(clock.instant(asked_at.plus_ms(WAIT_MS / 2))).await;
-                None
-            }
-            Err(error) => {
-                if let SourceError::Unreadable(fault) = &error {
-                    // The actor ends only with the instance.
-                    let _ = control.send(ConfigurationUnreadable(fault.clone())).await;
-                }
-                Some(error.to_string())
-            }
-        };
+        let fault = read_configuration(&mut source, &control, clock).await;
         // The store answers a held call as soon as there is a change, so there was none before its
         // answer.
-        report(
-            &control,
-            StoreTopic::Configuration,
-            clock.now(),
-            fault,
-            &mut pause,
-        )
-        .await;
+        let known_at = clock.now();
+        report(&control, StoreTopic::Configuration, known_at, fault, &mut pause).await;
+    }
+}
+
+/// Makes one held call and hands what came to the actor; returns what went wrong, if anything did.
+async fn read_configuration<H: HeaderProtocol>(
+    source: &mut impl ConfigurationSource,
+    control: &Address<Control<H>>,
+    clock: Clock,
+) -> Option<String> {
+    let asked_at = clock.now();
+    let limit = Duration::from_millis(WAIT_MS + ANSWER_MS);
+    let outcome = timeout(limit, source.next(WAIT_MS)).await;
+    let outcome = outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer in time".to_owned())));
+    match outcome {
+        Ok(Some(configuration)) => {
+            let origin = Origin::Store;
+            let read = ConfigurationRead {
+                configuration,
+                origin,
+            };
+            // The actor ends only with the instance.
+            let _ = control.send(read).await;
+            None
+        }
+        Ok(None) => {
+            // A store that answers at once instead of holding the call is asked no more often.
+            sleep_until(clock.instant(asked_at.plus_ms(WAIT_MS / 2))).await;
+            None
+        }
+        Err(error) => {
+            if let SourceError::Unreadable(fault) = &error {
+                // The actor ends only with the instance.
+                let _ = control.send(ConfigurationUnreadable(fault.clone())).await;
+            }
+            Some(error.to_string())
+        }
     }
 }
 
--- a/crates/reedsail_router/src/metrics.rs
+++ b/crates/reedsail_router/src/metrics.rs
@@ -46,7 +46,7 @@
             answers: counters(
                 &registry,
                 "reedsail_router_answers_total",
-                "Requests by outcome.",
+                "Requests.",
                 &["outcome"],
             ),
             first_event: latencies(
@@ -54,12 +54,7 @@
                 "reedsail_router_first_part_seconds",
                 "Time from a request's arrival to the first event of its answer.",
             ),
-            retries: counters(
-                &registry,
-                "reedsail_router_repeats_total",
-                "Retries by cause.",
-                &["cause"],
-            ),
+            retries: counters(&registry, "reedsail_router_repeats_total", "Retries.", &["cause"]),
             connects: counters(
                 &registry,
                 "reedsail_router_connects_total",
--- a/crates/reedsail_router/src/traffic/relay_whole.rs
+++ b/crates/reedsail_router/src/traffic/relay_whole.rs
@@ -6,6 +6,7 @@
 use http_body_util::Limited;
 use hyper::HeaderMap;
 use hyper::StatusCode;
+use hyper::body::Incoming;
 use hyper::header::CONTENT_LENGTH;
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
@@ -49,23 +50,16 @@
         mut attempt,
     } = answering;
     attempt.guard.record_first_event();
-    let deadline = shared.clock.instant(call.deadline);
-    let read = timeout_at(deadline, Limited::new(body, WHOLE_BYTES_MAX).collect()).await;
-    let body = match read {
-        Ok(Ok(collected)) => collected.to_bytes(),
-        Ok(Err(error)) => {
-            attempt.break_off(AttemptOutcome::Failed);
-            let kind = if error.is::<LengthLimitError>() {
-                ErrorKind::AnswerTooLarge
+    let body = match read_whole(shared, call, body).await {
+        Ok(body) => body,
+        Err(kind) => {
+            attempt.break_off(if kind == ErrorKind::DeadlineAfterSend {
+                AttemptOutcome::Abandoned
             } else {
-                ErrorKind::AnswerIncomplete
-            };
+                AttemptOutcome::Failed
+            });
             return Err(sent.fail(kind));
         }
-        Err(_elapsed) => {
-            attempt.break_off(AttemptOutcome::Abandoned);
-            return Err(sent.fail(ErrorKind::DeadlineAfterSend));
-        }
     };
     let outcome = if head.status.is_server_error() {
         AttemptOutcome::Failed
@@ -82,3 +76,14 @@
         body,
     })
 }
+
+async fn read_whole<H>(shared: &Shared<H>, call: &Call, body: Incoming) -> Result<Bytes, ErrorKind> {
+    let deadline = shared.clock.instant(call.deadline);
+    let reading = Limited::new(body, WHOLE_BYTES_MAX).collect();
+    match timeout_at(deadline, reading).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ErrorKind::AnswerTooLarge),
+        Ok(Err(_broken)) => Err(ErrorKind::AnswerIncomplete),
+        Err(_elapsed) => Err(ErrorKind::DeadlineAfterSend),
+    }
+}
--- a/crates/reedsail_router/src/traffic/resume.rs
+++ b/crates/reedsail_router/src/traffic/resume.rs
@@ -16,6 +16,7 @@
 use reedsail_dispatch::AttemptOutcome;
 use reedsail_dispatch::Decision;
 use reedsail_dispatch::Placement;
+use reedsail_dispatch::RESUMES_MAX;
 use reedsail_dispatch::RetryVerdict;
 use reedsail_net::EventSplitter;
 use tokio::sync::mpsc;
@@ -39,8 +40,6 @@
 const PIECES_MAX: usize = 32;
 /// Size of an event at most, in bytes. Chosen, not measured.
 const EVENT_BYTES_MAX: usize = 1 << 20;
-/// Times that one stream goes on elsewhere at most. Chosen, not measured.
-const RESUMES_MAX: usize = 3;
 
 /// The caller's end of a stream; dropping it cancels the attempt.
 #[derive(Debug)]
