--- a/crates/reedsail_daemon/src/claims/dispatcher.rs
+++ b/crates/reedsail_daemon/src/claims/dispatcher.rs
@@ -127,8 +127,8 @@
         let daemons = self.domain_daemons.borrow().clone();
         let mut names: Vec<NameHash> = daemons.iter().map(|daemon| daemon.name).collect();
         names.push(self.own_name);
-        let duty = XxHash64::oneshot(shard as u64, b"claim writer");
-        let ranked = rank_by_rendezvous(duty, &names);
+        let role = XxHash64::oneshot(shard as u64, b"claim writer");
+        let ranked = rank_by_rendezvous(role, &names);
         let mut may_stand = false;
         let others = ranked.into_iter().take_while(|name| *name != self.own_name);
         for name in others.take(WRITERS_TRIED_MAX) {
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -22,7 +22,7 @@
 const COMPACT_EVERY_TICKS: u64 = 300;
 /// How often a frozen thread looks whether it may go on.
 const FROZEN_LOOK_MS: u64 = 10;
-/// For how long a peer's word that a server is leaving holds without being repeated.
+/// How long a departure that a peer advertised counts, in milliseconds. Chosen, not measured.
 const HEARSAY_LEAVING_MS: u64 = 30_000;
 
 impl<P: SharePolicy> Control<P> {
@@ -130,8 +130,8 @@
     }
 
     pub(super) fn is_server_leaving(&self, server: NameHash, now: TimeMs) -> bool {
-        let heard = self.advertised_departures.get(&server);
-        self.servers_leaving.contains(&server) || heard.is_some_and(|until| now < *until)
+        let advertised = self.advertised_departures.get(&server);
+        self.servers_leaving.contains(&server) || advertised.is_some_and(|until| now < *until)
     }
 
     /// Takes a peer's word on leaving servers.
@@ -139,12 +139,12 @@
         if servers.is_empty() {
             return;
         }
-        let mut is_news = false;
+        let mut is_new = false;
         for server in servers {
             let until = now.plus_ms(HEARSAY_LEAVING_MS);
-            is_news |= self.advertised_departures.insert(*server, until).is_none();
+            is_new |= self.advertised_departures.insert(*server, until).is_none();
         }
-        if is_news {
+        if is_new {
             self.mark_servers_leaving(now);
             self.refresh_allocators(now);
         }
--- a/crates/reedsail_daemon/src/control/grant.rs
+++ b/crates/reedsail_daemon/src/control/grant.rs
@@ -61,13 +61,13 @@
             }
             self.membership.leave(sender);
             self.replan();
-        } else if self.membership.hear(sender, now) {
+        } else if self.membership.record_alive(sender, now) {
             self.emit_alive(sender);
         }
         self.peers.entry(sender).or_default().reported_at = now;
         for suspect in &report.suspects {
             if *suspect != self.own_name {
-                self.membership.suspect_by_hearsay(*suspect, now);
+                self.membership.suspect_by_report(*suspect, now);
             }
         }
         self.receive_departures(&report.servers_leaving, now);
@@ -89,7 +89,7 @@
                 return;
             }
         };
-        if self.membership.hear(done.peer, now) {
+        if self.membership.record_alive(done.peer, now) {
             self.emit_alive(done.peer);
         }
         self.shared.events.observe(grant.clock);
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -29,7 +29,7 @@
 /// How often a daemon that does not know the bundle in force asks the next peer, in ticks.
 const FETCH_EVERY_TICKS: u64 = 10;
 /// The role of repeating the version in force in the log.
-const CHECKPOINT_DUTY: u64 = 0x6368_6563_6b70_6f69;
+const CHECKPOINT_ROLE: u64 = 0x6368_6563_6b70_6f69;
 
 impl<P: SharePolicy> Control<P> {
     /// Folds a part of the bundle stream; returns the offset from which to read on.
@@ -249,7 +249,7 @@
         }
         let mut daemons = self.membership.alive(None, now);
         daemons.push(self.own_name);
-        let ranked = rank_by_rendezvous(CHECKPOINT_DUTY, &daemons);
+        let ranked = rank_by_rendezvous(CHECKPOINT_ROLE, &daemons);
         let place = ranked.iter().position(|name| *name == self.own_name).unwrap_or(0) as u64;
         let age_ms = Clock::unix_ms().saturating_sub(self.in_force_seen_unix_ms);
         if age_ms < every_ms + every_ms / 4 * place {
--- a/crates/reedsail_daemon/src/traffic/stream.rs
+++ b/crates/reedsail_daemon/src/traffic/stream.rs
@@ -44,7 +44,7 @@
 const EVENT_BYTES_MAX: usize = 1 << 20;
 
 /// How a part of a stream ended.
-enum PartEnd {
+enum StreamEnd {
     /// The stream is whole.
     Whole,
     /// It broke off; it may go on elsewhere.
@@ -113,8 +113,8 @@
         loop {
             let server = answering.server;
             let (parts, mut body) = answering.response.into_parts();
-            let end = self.pass_part(&mut body).await;
-            if matches!(end, PartEnd::Whole) {
+            let end = self.pass_on(&mut body).await;
+            if matches!(end, StreamEnd::Whole) {
                 let now = self.shared.clock.now();
                 self.pool
                     .give_back(answering.address, answering.connection, &parts.headers, now);
@@ -125,17 +125,17 @@
             drop(body);
             drop(answering.connection);
             let resumed = match end {
-                PartEnd::Whole => return,
-                PartEnd::CallerGone => {
+                StreamEnd::Whole => return,
+                StreamEnd::CallerGone => {
                     self.emit(EventKind::CallerGone);
                     return;
                 }
-                PartEnd::Preempted => self.wait_for_turn().await,
-                PartEnd::Broken if breaks < RESUMES_MAX => {
+                StreamEnd::Preempted => self.wait_for_turn().await,
+                StreamEnd::Broken if breaks < RESUMES_MAX => {
                     breaks += 1;
                     self.resume_elsewhere(server).await
                 }
-                PartEnd::Broken => None,
+                StreamEnd::Broken => None,
             };
             let Some(resumed) = resumed else { break };
             answering = resumed;
@@ -145,26 +145,26 @@
     }
 
     /// Passes events on until the stream ends, breaks or is no longer wanted.
-    async fn pass_part(&mut self, body: &mut Incoming) -> PartEnd {
+    async fn pass_on(&mut self, body: &mut Incoming) -> StreamEnd {
         let stall = Duration::from_millis(self.shared.settings.limits.stall_max_ms);
         loop {
             let frame = match timeout(stall, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(None) if self.done => return PartEnd::Whole,
-                Ok(None | Some(Err(_))) | Err(_) => return PartEnd::Broken,
+                Ok(None) if self.done => return StreamEnd::Whole,
+                Ok(None | Some(Err(_))) | Err(_) => return StreamEnd::Broken,
             };
             let Ok(data) = frame.into_data() else { continue };
             for event in self.splitter.push(&data) {
                 self.note_event(&event);
                 if self.sender.send_data(Bytes::from(event)).await.is_err() {
-                    return PartEnd::CallerGone;
+                    return StreamEnd::CallerGone;
                 }
             }
             if self.splitter.partial_bytes() > EVENT_BYTES_MAX {
-                return PartEnd::Broken;
+                return StreamEnd::Broken;
             }
             if !self.done && self.slot.as_ref().is_some_and(Slot::is_preempted) {
-                return PartEnd::Preempted;
+                return StreamEnd::Preempted;
             }
         }
     }
--- a/crates/reedsail_dispatch/src/gossip_timing.rs
+++ b/crates/reedsail_dispatch/src/gossip_timing.rs
@@ -51,7 +51,7 @@
 }
 
 impl GossipTiming {
-    /// Works the times out for an instance with so many peers alive.
+    /// Works the times out from the number of peers that are alive.
     pub fn of(peers: usize) -> Self {
         let interval_ms = (peers as u64 * INTERVAL_PER_PEER_MS).max(INTERVAL_MIN_MS);
         Self {
--- a/crates/reedsail_dispatch/src/latency_estimate.rs
+++ b/crates/reedsail_dispatch/src/latency_estimate.rs
@@ -70,7 +70,7 @@
         self.tokens_per_s = tokens_per_s;
     }
 
-    /// Returns the rate for a service that has so many engines now.
+    /// Returns the rate of a service, given the number of its engines now.
     pub(crate) fn rate(&mut self, engines: usize) -> PrefillRate {
         self.engines_max = self.engines_max.max(engines);
         match self.tokens_per_s {
--- a/crates/reedsail_dispatch/src/overload.rs
+++ b/crates/reedsail_dispatch/src/overload.rs
@@ -101,7 +101,7 @@
         self.lag_ms.load(Ordering::Relaxed)
     }
 
-    /// Tells whether a request that arrives now is refused, with so many open of so many allowed.
+    /// Tells whether a request that arrives now is refused, given the number of open requests and its bound.
     pub fn refuses_request(&self, open_requests: u64, open_requests_max: u64) -> bool {
         open_requests > open_requests_max || self.lag_ms() >= REFUSE_LAG_MS
     }
--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -25,7 +25,8 @@
 /// Age of the server list from which an instance reads the store itself, in milliseconds, in a small
 /// fleet. Trials at 600 and 2,400: docs/DECISIONS.md.
 const SERVERS_STALE_MS: u64 = 1_200;
-/// The same for the configuration, which the store is asked for less often, in milliseconds. Trials at
+/// Age of the configuration from which an instance reads it itself, in milliseconds; it is read less often
+/// than the servers. Trials at
 /// 850 and 3,400: docs/DECISIONS.md.
 const CONFIGURATION_STALE_MS: u64 = 1_700;
 
--- a/crates/reedsail_net/src/connection_pool.rs
+++ b/crates/reedsail_net/src/connection_pool.rs
@@ -80,6 +80,6 @@
     let parameter = text
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))?;
-    // The same for a number.
+    // A time-out that is no number says nothing either.
     Some(parameter.trim().parse::<u64>().ok()?.saturating_mul(1_000))
 }
--- a/crates/reedsail_net/src/http_connection.rs
+++ b/crates/reedsail_net/src/http_connection.rs
@@ -58,7 +58,7 @@
             let mut connection = Self::open(address, limit_ms, ByteCounter::default()).await.ok()?;
             connection.ready().await.then_some(connection)
         };
-        // The same for one that takes too long.
+        // A server that takes too long is unreachable as well.
         timeout(Duration::from_millis(limit_ms), opening).await.ok()?
     }
 
--- a/crates/reedsail_net/src/workers.rs
+++ b/crates/reedsail_net/src/workers.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// The threads of one daemon, which end together.
+/// The threads of one process, which end together.
 #[derive(Debug)]
 pub struct Workers {
     killed: watch::Sender<bool>,
@@ -70,7 +70,7 @@
             tokio::select! {
                 ended = make() => {
                     if let Err(error) = ended {
-                        log::error!("a thread of the daemon ended: {error}");
+                        log::error!("a thread of this process ended: {error}");
                     }
                 }
                 _ = killed.wait_for(|killed| *killed) => {}
--- a/crates/reedsail_router/src/traffic/attempt_guard.rs
+++ b/crates/reedsail_router/src/traffic/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! Attempts that end with whoever holds them, so that the load on a server is never counted for ever.
+//! Guards that end an attempt when they are dropped, so that no attempt counts as load for ever.
 
 use std::sync::Arc;
 
--- a/crates/reedsail_scheduling/src/accept_fold.rs
+++ b/crates/reedsail_scheduling/src/accept_fold.rs
@@ -107,13 +107,13 @@
             self.seen_from = as_of;
             self.last_proposal = None;
         }
-        let is_news = self.in_force.is_none_or(|known| known.version < accepted.version);
-        if is_news {
+        let is_new = self.in_force.is_none_or(|known| known.version < accepted.version);
+        if is_new {
             self.in_force = Some(accepted);
         }
         // Whoever speaks is sure, so the higher of both versions is the one in force.
         self.is_sure = true;
-        is_news
+        is_new
     }
 
     /// Tells whether knowledge as of an offset leaves out no proposal that was read here.
--- a/crates/reedsail_scheduling/src/allocator/targets.rs
+++ b/crates/reedsail_scheduling/src/allocator/targets.rs
@@ -192,11 +192,11 @@
         let own_surplus = (own_slots - spread.with_need(self.own_need(needs))).max(0.0);
         let surplus_of = |(name, slots): &(NameHash, f64)| (slots - spread.with_need(needs[name])).max(0.0);
         let surplus_total = own_surplus + others.iter().map(surplus_of).sum::<f64>();
-        let own_part = own_surplus / surplus_total.max(1e-9);
+        let own_fraction = own_surplus / surplus_total.max(1e-9);
         let mut spare = own_surplus;
         for (name, slots) in others {
             let lacking = (spread.with_need(needs[&name]) - slots).max(0.0);
-            let lent = (lacking * own_part).min(spare);
+            let lent = (lacking * own_fraction).min(spare);
             spare -= lent;
             if let Some(member) = self.members.get_mut(&name) {
                 member.target_slots = lent.round() as u32;
@@ -241,7 +241,7 @@
 /// more than half of them.
 #[derive(Clone, Copy, Debug)]
 struct StandBy {
-    equal_part: f64,
+    equal_share: f64,
     by_need: f64,
 }
 
@@ -250,13 +250,13 @@
         let left_over = left_over.max(0.0);
         let by_need = (left_over / 2.0 / need.max(1.0)).min(1.0);
         Self {
-            equal_part: (left_over - by_need * need) / holders.max(1) as f64,
+            equal_share: (left_over - by_need * need) / holders.max(1) as f64,
             by_need,
         }
     }
 
     fn with_need(self, need: f64) -> f64 {
-        need + self.equal_part + self.by_need * need
+        need + self.equal_share + self.by_need * need
     }
 }
 
--- a/crates/reedsail_scheduling/src/fair_queue/workspace_queue.rs
+++ b/crates/reedsail_scheduling/src/fair_queue/workspace_queue.rs
@@ -11,7 +11,7 @@
 /// The weight of the newest request in a workspace's running mean cost.
 const COST_SAMPLE_WEIGHT: f64 = 0.1;
 /// What part of the best rate counts on for another window.
-const RATE_KEPT_PART: f64 = 0.95;
+const RATE_KEPT_FRACTION: f64 = 0.95;
 /// A wait is predicted once so many windows in a row were backlogged; before, nobody is refused.
 const RATE_WINDOWS_MIN: u32 = 3;
 /// The smallest share by which cost is divided, in slots.
@@ -127,7 +127,7 @@
         self.backlogged_windows += 1;
         // A share here comes and goes with the workspace's callers elsewhere, so a good second is
         // forgotten slowly: nobody is to be refused for a lull.
-        self.rate_per_ms = rate.max(self.rate_per_ms * RATE_KEPT_PART);
+        self.rate_per_ms = rate.max(self.rate_per_ms * RATE_KEPT_FRACTION);
     }
 
     /// Returns how long a new request of the class would wait, if that can be told.
--- a/crates/reedsail_scheduling/src/membership.rs
+++ b/crates/reedsail_scheduling/src/membership.rs
@@ -1,4 +1,7 @@
-//! Which daemons are alive, by three kinds of word, and who is allocator of what.
+//! Membership: which daemons are alive, and which of them has a role.
+//!
+//! Owns what the platform's list, this daemon's own calls and its peers' reports say of each daemon. The
+//! list is late, so a daemon that was heard from is alive whether or not it is listed.
 
 use std::collections::HashMap;
 
@@ -6,12 +9,14 @@
 use reedsail_core::TimeMs;
 use twox_hash::XxHash64;
 
-/// A daemon that failed to answer is left out for this long at first, unless it is heard from.
+/// Time for which a daemon that failed to answer is suspected at first, in milliseconds. Chosen, not
+/// measured.
 const SUSPECT_FIRST_MS: u64 = 3_000;
-/// The longest time for which it is left out; each failure in a row doubles it up to here.
+/// Longest time for which it is suspected, in milliseconds; each failure in a row doubles the time up to
+/// here. Chosen, not measured.
 const SUSPECT_MAX_MS: u64 = 48_000;
-/// A daemon that was heard from counts as alive for this long, listed or not.
-const HEARD_MS: u64 = 10_000;
+/// Time for which a daemon that was heard from counts as alive, in milliseconds. Chosen, not measured.
+const ALIVE_MS: u64 = 10_000;
 
 /// What is known of one daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +35,7 @@
     domain: NameHash,
     address: String,
     listed: bool,
-    heard_until: TimeMs,
+    alive_until: TimeMs,
     suspect_until: TimeMs,
     failures_in_row: u32,
     leaving: bool,
@@ -50,7 +55,7 @@
             domain: NameHash::of(domain),
             address: address.to_owned(),
             listed: false,
-            heard_until: TimeMs(0),
+            alive_until: TimeMs(0),
             suspect_until: TimeMs(0),
             failures_in_row: 0,
             leaving: false,
@@ -73,12 +78,12 @@
     }
 
     /// Records that a daemon was heard from and stays; returns `true` if it was suspected.
-    pub fn hear(&mut self, daemon: NameHash, now: TimeMs) -> bool {
+    pub fn record_alive(&mut self, daemon: NameHash, now: TimeMs) -> bool {
         let Some(entry) = self.entries.get_mut(&daemon) else {
             return false;
         };
         let was_suspect = entry.failures_in_row > 0;
-        entry.heard_until = now.plus_ms(HEARD_MS);
+        entry.alive_until = now.plus_ms(ALIVE_MS);
         entry.suspect_until = TimeMs(0);
         entry.failures_in_row = 0;
         entry.leaving = false;
@@ -97,11 +102,11 @@
         let Some(entry) = self.entries.get_mut(&daemon) else {
             return false;
         };
-        let is_news = entry.failures_in_row == 0;
+        let is_new = entry.failures_in_row == 0;
         let suspect_ms = (SUSPECT_FIRST_MS << entry.failures_in_row.min(4)).min(SUSPECT_MAX_MS);
         entry.failures_in_row += 1;
         entry.suspect_until = now.plus_ms(suspect_ms);
-        is_news
+        is_new
     }
 
     /// Returns what is known of a daemon.
@@ -112,7 +117,7 @@
         if entry.leaving {
             return Presence::Leaving;
         }
-        let known = entry.listed || now < entry.heard_until;
+        let known = entry.listed || now < entry.alive_until;
         if known && entry.suspect_until <= now {
             Presence::Alive
         } else {
@@ -154,11 +159,11 @@
     }
 
     /// Takes a peer's word that a daemon did not answer, unless it was heard from here since.
-    pub fn suspect_by_hearsay(&mut self, daemon: NameHash, now: TimeMs) {
+    pub fn suspect_by_report(&mut self, daemon: NameHash, now: TimeMs) {
         let Some(entry) = self.entries.get(&daemon) else {
             return;
         };
-        let heard_lately = now.plus_ms(HEARD_MS / 2) < entry.heard_until;
+        let heard_lately = now.plus_ms(ALIVE_MS / 2) < entry.alive_until;
         if !heard_lately && entry.suspect_until <= now {
             self.suspect(daemon, now);
         }
@@ -173,7 +178,7 @@
     /// Forgets daemons that nobody has heard of for long.
     pub fn forget_old(&mut self, now: TimeMs) {
         self.entries
-            .retain(|_, entry| entry.listed || now < entry.heard_until);
+            .retain(|_, entry| entry.listed || now < entry.alive_until);
     }
 
     /// Returns how many daemons are known.
@@ -187,12 +192,12 @@
     }
 }
 
-/// Orders candidates for a duty by rendezvous hashing: the first one alive has it.
+/// Orders candidates for a role by rendezvous hashing: the first one alive has it.
 ///
 /// Everybody who sees the same candidates reaches the same order, and the loss of one moves only
 /// its own duties (Thaler and Ravishankar, 1998).
-pub fn rank_by_rendezvous(duty: u64, candidates: &[NameHash]) -> Vec<NameHash> {
+pub fn rank_by_rendezvous(role: u64, candidates: &[NameHash]) -> Vec<NameHash> {
     let mut ranked: Vec<NameHash> = candidates.to_vec();
-    ranked.sort_by_key(|candidate| std::cmp::Reverse(XxHash64::oneshot(duty, &candidate.0.to_le_bytes())));
+    ranked.sort_by_key(|candidate| std::cmp::Reverse(XxHash64::oneshot(role, &candidate.0.to_le_bytes())));
     ranked
 }
--- a/crates/reedsail_scheduling/src/preemption.rs
+++ b/crates/reedsail_scheduling/src/preemption.rs
@@ -21,7 +21,7 @@
 /// a part of the lease besides.
 const OVER_LEASE_SLOTS: u32 = 1;
 /// See `OVER_LEASE_SLOTS`.
-const OVER_LEASE_PART: u32 = 8;
+const OVER_LEASE_DIVISOR: u32 = 8;
 
 /// Tells a running request that it is to give its slot up. Clones share their state.
 #[derive(Clone, Debug, Default)]
@@ -49,13 +49,13 @@
 
 /// How one workspace stands against its share.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ShareStanding {
+pub(crate) struct ShareBalance {
     pub(crate) running: u32,
     pub(crate) queued: u32,
     pub(crate) share: f64,
 }
 
-impl ShareStanding {
+impl ShareBalance {
     fn excess(&self) -> f64 {
         f64::from(self.running) - self.share
     }
@@ -74,12 +74,12 @@
 /// the least has to be read again where it goes on.
 pub(crate) fn preempt(
     runs: &HashMap<u64, RunEntry>,
-    standings: &HashMap<WorkspaceKey, ShareStanding>,
+    balances: &HashMap<WorkspaceKey, ShareBalance>,
     (leased, in_use): (u32, u32),
     now: TimeMs,
 ) -> usize {
-    let lacking: f64 = standings.values().map(ShareStanding::lacking).sum();
-    let left_alone = OVER_LEASE_SLOTS + leased / OVER_LEASE_PART;
+    let lacking: f64 = balances.values().map(ShareBalance::lacking).sum();
+    let left_alone = OVER_LEASE_SLOTS + leased / OVER_LEASE_DIVISOR;
     let over_lease = in_use.saturating_sub(leased + left_alone);
     let pending = runs.values().filter(|run| run.flag.is_raised()).count();
     let wanted = (over_lease as usize).max(lacking as usize);
@@ -87,9 +87,9 @@
     if wanted == 0 {
         return 0;
     }
-    let mut excess: HashMap<WorkspaceKey, f64> = standings
+    let mut excess: HashMap<WorkspaceKey, f64> = balances
         .iter()
-        .map(|(workspace, standing)| (*workspace, standing.excess()))
+        .map(|(workspace, balance)| (*workspace, balance.excess()))
         .collect();
     let mut candidates: HashMap<WorkspaceKey, Vec<&RunEntry>> = HashMap::new();
     for run in runs.values() {
--- a/crates/reedsail_scheduling/src/retry_budget.rs
+++ b/crates/reedsail_scheduling/src/retry_budget.rs
@@ -1,11 +1,14 @@
-//! A budget that keeps retries a small part of the traffic, on each daemon and so on the fleet.
+//! A budget that keeps retries a small fraction of the traffic, on each daemon and so on the fleet.
+//!
+//! A token bucket, with bounds of the product's own. The router's is another (`retry` of
+//! `reedsail_dispatch`): its users judge retries over a sliding window with settings of theirs.
 
-/// What a first try adds to the budget, in retries.
+/// Retries that a first attempt adds to the budget. Chosen, not measured.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// The most that the budget holds, so that a long quiet time buys no storm.
+/// Retries that the budget holds at most, so that a long quiet time buys no storm. Chosen, not measured.
 const BUDGET_MAX_RETRIES: f64 = 20.0;
 
-/// Counts what may still be retried: each first try earns a tenth of a retry.
+/// Counts what may still be retried: each first attempt earns a tenth of a retry.
 ///
 /// Since every daemon holds to a tenth of its own traffic, the whole fleet's retries stay within
 /// a tenth of its traffic plus `BUDGET_MAX_RETRIES` a daemon, without a message between them.
@@ -23,7 +26,7 @@
 }
 
 impl RetryBudget {
-    /// Earns for a first try.
+    /// Earns for a first attempt.
     pub fn earn(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(BUDGET_MAX_RETRIES);
     }
--- a/crates/reedsail_scheduling/src/scheduler.rs
+++ b/crates/reedsail_scheduling/src/scheduler.rs
@@ -19,7 +19,7 @@
 use crate::Waiting;
 use crate::WorkspaceTable;
 use crate::preemption::RunEntry;
-use crate::preemption::ShareStanding;
+use crate::preemption::ShareBalance;
 use crate::preemption::preempt;
 
 /// So many slots given back are worth a report of their own.
@@ -263,19 +263,19 @@
         if !P::LEASED || self.grant_deadline <= now {
             return 0;
         }
-        let standings = self
+        let balances = self
             .queue
             .active_entries()
             .map(|(workspace, entry)| {
-                let standing = ShareStanding {
+                let balance = ShareBalance {
                     running: entry.running,
                     queued: entry.queued(),
                     share: self.queue.share_of(entry),
                 };
-                (workspace, standing)
+                (workspace, balance)
             })
             .collect();
-        preempt(&self.preemptible, &standings, self.slot_counts(), now)
+        preempt(&self.preemptible, &balances, self.slot_counts(), now)
     }
 
     /// Does the same at once for a request that was queued although its workspace has less than its
--- a/crates/reedsail_scheduling/tests/allocator.rs
+++ b/crates/reedsail_scheduling/tests/allocator.rs
@@ -205,7 +205,7 @@
         &report(&[(0, 10, 10), (1, 10, 10)], &[(0, 500, 20, 0)]),
         START,
     );
-    // The lender's own daemon gives its standing slots back with its next reports.
+    // The lender's own daemon gives its balance slots back with its next reports.
     let asked = borrower.domain_report(there, START);
     lender.on_report(here, &asked, START);
     let later = START.plus_ms(500);
