--- a/crates/reedsail_bench/src/replay.rs
+++ b/crates/reedsail_bench/src/replay.rs
@@ -156,16 +156,12 @@
             && self.roll_outs.is_empty())
         {
             let now_ms = self.begun.elapsed().as_millis() as u64;
-            while actions.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
-                if let Some((_, action)) = actions.pop_front() {
-                    action.strike(&mut self.fleet).await?;
-                }
+            while let Some((_, action)) = actions.pop_front_if(|(at_ms, _)| *at_ms <= now_ms) {
+                action.strike(&mut self.fleet).await?;
             }
-            while lines.front().is_some_and(|line| line.at_ms() <= now_ms) {
-                if let Some(line) = lines.pop_front() {
-                    number += 1;
-                    self.act(line, number).await?;
-                }
+            while let Some(line) = lines.pop_front_if(|line| line.at_ms() <= now_ms) {
+                number += 1;
+                self.act(line, number).await?;
             }
             if now_ms >= sample_ms {
                 sample_ms = now_ms + SAMPLE_EVERY_MS;
--- a/crates/reedsail_bench/src/report.rs
+++ b/crates/reedsail_bench/src/report.rs
@@ -113,7 +113,14 @@
 
     /// Writes the report for people.
     pub fn render(&self) -> String {
-        let mut lines = vec![
+        let mut lines = self.render_totals();
+        lines.extend(self.render_details());
+        lines.push(format!("took {:.1} s", self.elapsed_s));
+        lines.join("\n")
+    }
+
+    fn render_totals(&self) -> Vec<String> {
+        vec![
             format!("trace {} policy {} seed {}", self.trace, self.policy, self.seed),
             format!(
                 "requests {}: answered {}, refused as not run {}, unknown {}",
@@ -140,7 +147,11 @@
                 "control {:.0} B/s a daemon (most {:.0})",
                 self.control_bytes_per_s_per_daemon, self.control_bytes_per_s_max
             ),
-        ];
+        ]
+    }
+
+    fn render_details(&self) -> Vec<String> {
+        let mut lines = Vec::new();
         if let Some(in_force_ms) = self.bundle_in_force_ms {
             lines.push(format!("bundle in force everywhere after {in_force_ms} ms"));
         }
@@ -163,8 +174,7 @@
             let verdict = if promise.holds { "holds" } else { "BROKEN" };
             lines.push(format!("{verdict}: {} ({})", promise.promise, promise.evidence));
         }
-        lines.push(format!("took {:.1} s", self.elapsed_s));
-        lines.join("\n")
+        lines
     }
 }
 
--- a/crates/reedsail_bench/src/trace_maker.rs
+++ b/crates/reedsail_bench/src/trace_maker.rs
@@ -285,6 +285,11 @@
             let expect = Expectation::Earlier("idempotency_key_already_ran".to_owned());
             self.plain(at_ms, "POST", self.deployment.keyed_path, label, expect);
         }
+        self.refused_part();
+    }
+
+    /// Requests that must be refused.
+    fn refused_part(&mut self) {
         let refused = |kind: &str| Expectation::NotRun(kind.to_owned());
         let keyless = refused("idempotency_key_required");
         self.plain(500, "POST", self.deployment.keyed_path, None, keyless);
--- a/crates/reedsail_daemon/src/control/actor.rs
+++ b/crates/reedsail_daemon/src/control/actor.rs
@@ -36,6 +36,7 @@
 use super::report_plan::Assignment;
 use super::report_plan::PeerSchedule;
 use super::report_plan::ReportPlan;
+use crate::Settings;
 use crate::shared::Shared;
 use crate::shared::Status;
 
@@ -87,19 +88,7 @@
         domain_daemons: watch::Sender<Vec<PeerAddress>>,
     ) -> Self {
         let settings = &shared.settings;
-        let mut membership = Membership::default();
-        for peer in settings
-            .peers
-            .iter()
-            .filter(|peer| peer.instance != settings.instance)
-        {
-            membership.list(
-                &peer.instance,
-                &peer.failure_domain,
-                &peer.address.to_string(),
-                false,
-            );
-        }
+        let membership = known_peers(settings);
         Self {
             own_name: NameHash::of(&settings.instance),
             own_domain: NameHash::of(&settings.failure_domain),
@@ -135,6 +124,20 @@
     }
 }
 
+/// Returns the peers that the settings name, until the platform's list is known.
+fn known_peers(settings: &Settings) -> Membership {
+    let mut membership = Membership::default();
+    let others = settings
+        .peers
+        .iter()
+        .filter(|peer| peer.instance != settings.instance);
+    for peer in others {
+        let address = peer.address.to_string();
+        membership.list(&peer.instance, &peer.failure_domain, &address, false);
+    }
+    membership
+}
+
 impl<P: SharePolicy> Actor for Control<P> {
     type Stop = ();
 
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -70,18 +70,13 @@
     let digest = headers::key_digest(&parts.headers).ok_or((ErrorKind::UnknownKey, None))?;
     let (workspace, described) = view.identify(&digest).ok_or((ErrorKind::UnknownKey, None))?;
     let target = find_target(&view, &parts)?;
-    let limits = &shared.settings.limits;
-    let class =
-        headers::class(&parts.headers, described.workspace.default_class).map_err(|kind| (kind, None))?;
-    let deadline_ms =
-        headers::deadline_ms(&parts.headers, limits.deadline_default_ms, limits.deadline_max_ms)
-            .map_err(|kind| (kind, None))?;
+    let (class, deadline_ms) = read_terms(shared, &parts.headers, described.workspace.default_class)?;
     if let Some(per_s) = described.workspace.limits.requests_per_s {
         shared
             .take_rate(workspace, per_s)
             .map_err(|after_ms| (ErrorKind::RateLimited, Some(after_ms)))?;
     }
-    let body = read_body(body, limits.body_bytes_max)
+    let body = read_body(body, shared.settings.limits.body_bytes_max)
         .await
         .map_err(|kind| (kind, None))?;
     let chosen = choose_service(&view, target, &body)?;
@@ -116,6 +111,19 @@
     })
 }
 
+/// Reads the class and the deadline in milliseconds that the caller wants.
+fn read_terms<P: SharePolicy>(
+    shared: &Shared<P>,
+    headers: &HeaderMap,
+    default_class: Class,
+) -> Result<(Class, u64), Refusal> {
+    let limits = &shared.settings.limits;
+    let class = headers::class(headers, default_class).map_err(|kind| (kind, None))?;
+    let deadline_ms = headers::deadline_ms(headers, limits.deadline_default_ms, limits.deadline_max_ms)
+        .map_err(|kind| (kind, None))?;
+    Ok((class, deadline_ms))
+}
+
 /// What a path leads to.
 enum Target<P: SharePolicy> {
     /// The service of the path.
--- a/crates/reedsail_soak/src/soak.rs
+++ b/crates/reedsail_soak/src/soak.rs
@@ -187,25 +187,13 @@
     let mut watchers = JoinSet::new();
     for daemon in 0..schedule.daemons {
         let versions = Arc::clone(&newest_version);
-        watchers.spawn(run_prober(
-            Arc::clone(fleet),
-            daemon,
-            versions,
-            clock,
-            probes_in.clone(),
-        ));
+        let probes = probes_in.clone();
+        watchers.spawn(run_prober(Arc::clone(fleet), daemon, versions, clock, probes));
     }
     let peak_memory_kb = Arc::new(AtomicU64::new(0));
     watchers.spawn(watch_memory(Arc::clone(fleet), Arc::clone(&peak_memory_kb)));
     let mut callers = start_callers(&shared, schedule.seed);
-    let mut faults = JoinSet::new();
-    for fault in schedule.faults.iter().copied() {
-        let player = Arc::clone(&player);
-        faults.spawn(async move { player.play(fault).await });
-    }
-    while let Some(ended) = faults.join_next().await {
-        ended??;
-    }
+    play_faults(&player, schedule).await?;
     let last_attempts = Duration::from_millis(schedule.for_ms + LAST_ATTEMPT_MS);
     // Callers end by themselves; one that does not is dropped, and its attempt with it.
     let _ = tokio::time::timeout(last_attempts, async {
@@ -226,6 +214,18 @@
     })
 }
 
+async fn play_faults(player: &Arc<Player>, schedule: &Schedule) -> anyhow::Result<()> {
+    let mut faults = JoinSet::new();
+    for fault in schedule.faults.iter().copied() {
+        let player = Arc::clone(player);
+        faults.spawn(async move { player.play(fault).await });
+    }
+    while let Some(ended) = faults.join_next().await {
+        ended??;
+    }
+    Ok(())
+}
+
 fn start_callers(shared: &Arc<CallerShared>, seed: u64) -> JoinSet<()> {
     let mut callers = JoinSet::new();
     let profiles = CALLERS
--- a/crates/reedsail_standin/src/engine.rs
+++ b/crates/reedsail_standin/src/engine.rs
@@ -16,6 +16,7 @@
 use http_body_util::Either;
 use http_body_util::channel::Channel;
 use http_body_util::channel::Sender;
+use hyper::HeaderMap;
 use hyper::Request;
 use hyper::Response;
 use hyper::StatusCode;
@@ -267,22 +268,11 @@
         if state.faults.broken.load(Ordering::Relaxed) {
             return Err(StandinError);
         }
-        let header = |name: &str| {
-            let value = request.headers().get(name).and_then(|value| value.to_str().ok());
-            value.unwrap_or_default().to_owned()
-        };
-        let mut request_id = header("x-request-id");
-        let workspace = header("x-workspace");
-        let resumed_from: u64 = header("x-resume-from").parse().unwrap_or(0);
-        let priority: u8 = header("x-priority").parse().unwrap_or(1);
-        *lock(&state.requests_seen).entry(request_id.clone()).or_default() += 1;
-        let body = request
-            .into_body()
-            .collect()
-            .await
-            .map_err(|_| StandinError)?
-            .to_bytes();
-        let Ok(chat) = serde_json::from_slice::<ChatRequest>(&body) else {
+        let mut call = CallHeaders::read(request.headers());
+        *lock(&state.requests_seen)
+            .entry(call.request_id.clone())
+            .or_default() += 1;
+        let Some(chat) = read_chat(request).await? else {
             return Ok(whole(
                 StatusCode::BAD_REQUEST,
                 r#"{"error":"not a chat request"}"#,
@@ -294,14 +284,14 @@
             .map(|message| message.content.as_str())
             .collect();
         let (cached, told_drop) = state.touch_prefix(&prompt);
-        state.slots.acquire(priority).await;
+        state.slots.acquire(call.priority).await;
         let generation = Generation {
             state: Arc::clone(state),
             prompt,
-            request_id: request_id.clone(),
-            workspace,
-            next: resumed_from,
-            resumed_from,
+            request_id: call.request_id.clone(),
+            workspace: call.workspace,
+            next: call.resumed_from,
+            resumed_from: call.resumed_from,
             tokens_total: chat.max_tokens,
             end: RunEnd::Cancelled,
         };
@@ -309,9 +299,10 @@
             sleep(Duration::from_millis(state.config.prefill_ms)).await;
         }
         if state.faults.crossed.load(Ordering::Relaxed) {
-            request_id = format!("not-{request_id}");
+            call.request_id = format!("not-{}", call.request_id);
         }
         let (running, waiting, _) = state.slots.load();
+        let load = format!("{running}/{waiting}/{}", state.config.slots);
         let mut response = if chat.stream {
             let (sender, body) = Channel::new(16);
             tokio::spawn(stream_tokens(generation, sender));
@@ -322,20 +313,52 @@
         } else {
             answer_whole(generation).await?
         };
-        let headers = response.headers_mut();
-        if let Ok(value) = request_id.parse() {
-            headers.insert("x-request-id", value);
-        }
-        let load = format!("{running}/{waiting}/{}", state.config.slots);
-        headers.insert("x-load", load.parse().expect("a valid header value"));
-        if let Some(prefix) = told_drop {
-            let value = format!("{prefix:016x}").parse().expect("a valid header value");
-            headers.insert("x-prefix-dropped", value);
-        }
+        write_headers(response.headers_mut(), &call.request_id, &load, told_drop);
         Ok(response)
     }
 }
 
+/// The headers that an engine reads; one that is missing or unreadable has its default.
+struct CallHeaders {
+    request_id: String,
+    workspace: String,
+    resumed_from: u64,
+    priority: u8,
+}
+
+impl CallHeaders {
+    fn read(headers: &HeaderMap) -> Self {
+        let header = |name: &str| {
+            let value = headers.get(name).and_then(|value| value.to_str().ok());
+            value.unwrap_or_default().to_owned()
+        };
+        Self {
+            request_id: header("x-request-id"),
+            workspace: header("x-workspace"),
+            resumed_from: header("x-resume-from").parse().unwrap_or(0),
+            priority: header("x-priority").parse().unwrap_or(1),
+        }
+    }
+}
+
+/// Writes what an engine says along with each answer.
+fn write_headers(headers: &mut HeaderMap, request_id: &str, load: &str, dropped_prefix: Option<u64>) {
+    if let Ok(value) = request_id.parse() {
+        headers.insert("x-request-id", value);
+    }
+    headers.insert("x-load", load.parse().expect("a valid header value"));
+    if let Some(prefix) = dropped_prefix {
+        let value = format!("{prefix:016x}").parse().expect("a valid header value");
+        headers.insert("x-prefix-dropped", value);
+    }
+}
+
+async fn read_chat(request: Request<Incoming>) -> Result<Option<ChatRequest>, StandinError> {
+    let body = request.into_body().collect().await.map_err(|_| StandinError)?;
+    // What cannot be read is answered with status 400.
+    Ok(serde_json::from_slice(&body.to_bytes()).ok())
+}
+
 impl State {
     /// Uses the prompt's prefix; drops are told late, and some never.
     fn touch_prefix(&self, prompt: &str) -> (bool, Option<u64>) {
--- a/crates/reedsail_standin/src/routed_server.rs
+++ b/crates/reedsail_standin/src/routed_server.rs
@@ -17,6 +17,7 @@
 use hyper::Response;
 use hyper::StatusCode;
 use hyper::body::Incoming;
+use hyper::header::HeaderValue;
 use tokio::time::sleep;
 
 use crate::StandinError;
@@ -188,57 +189,71 @@
             index,
             is_over: false,
         };
-        let mut response = match answer {
-            RoutedAnswer::Whole { status, bytes } => {
-                let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-                whole(status, vec![b'x'; bytes])
-            }
+        match answer {
             RoutedAnswer::Stream { events, pause_after } => {
-                let first = last_event
-                    .and_then(|event| event.to_str().ok()?.parse::<u32>().ok())
-                    .map_or(1, |event| event + 1);
+                let first = first_event(last_event.as_ref());
                 let (sender, body) = Channel::new(1);
                 tokio::spawn(send_events(sender, first, events, pause_after, mark));
-                let mut response = Response::new(Either::Right(body));
-                if let Some(id) = id {
-                    response.headers_mut().insert(REQUEST_ID, id);
-                }
-                return Ok(response);
+                Ok(with_id(Response::new(Either::Right(body)), id))
             }
-            RoutedAnswer::NotRun => {
-                let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, "");
-                let not_run = "not_run".parse().expect("a valid header value");
-                response.headers_mut().insert("reedsail-ran", not_run);
-                response
+            RoutedAnswer::Silent => {
+                std::future::pending::<()>().await;
+                Err(StandinError)
             }
-            RoutedAnswer::WrongId => {
-                let mut response = whole(StatusCode::OK, "another's");
-                let other = "another".parse().expect("a valid header value");
-                response.headers_mut().insert(REQUEST_ID, other);
+            RoutedAnswer::Broken => {
                 mark.is_over = true;
-                return Ok(response);
-            }
-            RoutedAnswer::Short => {
-                let mut response = whole(StatusCode::OK, "xxxx");
-                // hyper breaks the connection when the body ends early.
-                let length = "4000".parse().expect("a valid header value");
-                response.headers_mut().insert("content-length", length);
-                response
+                Err(StandinError)
             }
-            RoutedAnswer::Broken => {
+            RoutedAnswer::WrongId => {
                 mark.is_over = true;
-                return Err(StandinError);
+                let other = HeaderValue::from_static("another");
+                Ok(with_id(whole(StatusCode::OK, "another's"), Some(other)))
             }
-            RoutedAnswer::Silent => {
-                std::future::pending::<()>().await;
-                return Err(StandinError);
+            RoutedAnswer::Whole { .. } | RoutedAnswer::NotRun | RoutedAnswer::Short => {
+                mark.is_over = true;
+                Ok(with_id(whole_answer(answer), id))
             }
-        };
-        if let Some(id) = id {
-            response.headers_mut().insert(REQUEST_ID, id);
         }
-        mark.is_over = true;
-        Ok(response)
+    }
+}
+
+/// Returns the number of the event that a stream begins with.
+fn first_event(last_event: Option<&HeaderValue>) -> u32 {
+    // A caller whose last event cannot be read gets the stream from its start.
+    let last = last_event.and_then(|event| event.to_str().ok()?.parse::<u32>().ok());
+    last.map_or(1, |event| event + 1)
+}
+
+fn with_id(mut response: Response<Body>, id: Option<HeaderValue>) -> Response<Body> {
+    if let Some(id) = id {
+        response.headers_mut().insert(REQUEST_ID, id);
+    }
+    response
+}
+
+/// Makes an answer that is sent at once, whole or claiming to be.
+fn whole_answer(answer: RoutedAnswer) -> Response<Body> {
+    match answer {
+        RoutedAnswer::NotRun => {
+            let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, "");
+            let not_run = HeaderValue::from_static("not_run");
+            response.headers_mut().insert("reedsail-ran", not_run);
+            response
+        }
+        RoutedAnswer::Short => {
+            let mut response = whole(StatusCode::OK, "xxxx");
+            // hyper breaks the connection when the body ends early.
+            let length = HeaderValue::from_static("4000");
+            response.headers_mut().insert("content-length", length);
+            response
+        }
+        RoutedAnswer::Whole { status, bytes } => {
+            let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
+            whole(status, vec![b'x'; bytes])
+        }
+        RoutedAnswer::Stream { .. } | RoutedAnswer::WrongId | RoutedAnswer::Broken | RoutedAnswer::Silent => {
+            unreachable!("these are not whole answers")
+        }
     }
 }
 
