--- a/crates/reedsail_bench/src/main.rs
+++ b/crates/reedsail_bench/src/main.rs
@@ -12,7 +12,7 @@
 use reedsail_bench::replay_trace;
 use reedsail_bench::service_plot;
 use reedsail_daemon::PolicyChoice;
-use reedsail_document::render_faults;
+use reedsail_document::read_file;
 use reedsail_soak::Programs;
 use reedsail_soak::draw_schedule;
 use reedsail_soak::run_server;
@@ -213,10 +213,7 @@
 fn read_faults(files: &[PathBuf]) -> anyhow::Result<Option<(String, FaultScript)>> {
     let mut joined: Option<(String, FaultScript)> = None;
     for file in files {
-        let shown = file.display();
-        let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {shown}"))?;
-        let script = FaultScript::read(&text)
-            .map_err(|faults| anyhow::anyhow!("{shown}:\n{}", render_faults(&faults)))?;
+        let script = read_file(file, FaultScript::read)?;
         let name = file
             .file_stem()
             .map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
--- a/crates/reedsail_daemon/src/main.rs
+++ b/crates/reedsail_daemon/src/main.rs
@@ -1,16 +1,20 @@
 //! `reedsaild`: reads its settings, runs the daemon, stops as planned on SIGTERM or SIGINT.
 
-use std::path::PathBuf;
+use std::path::Path;
 use std::process::ExitCode;
 
-use anyhow::Context as _;
 use reedsail_daemon::DaemonOptions;
 use reedsail_daemon::RunningDaemon;
 use reedsail_daemon::Settings;
-use reedsail_document::render_faults;
+use reedsail_document::read_file;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
+/// Exit code of a stop that cut requests off.
+const EXIT_CUT: u8 = 3;
+/// Exit code of a program that could not start.
+const EXIT_UNUSABLE: u8 = 2;
+
 mod flags {
     #![allow(
         missing_docs,
@@ -37,22 +41,19 @@
     let flags = flags::Reedsaild::from_env_or_exit();
     match run(&flags.config, flags.check) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(3),
+        Ok(false) => ExitCode::from(EXIT_CUT),
         Err(error) => {
             eprintln!("reedsaild: {error:#}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_UNUSABLE)
         }
     }
 }
 
 /// Runs the daemon; `false` if its stop cut requests off.
-fn run(config: &PathBuf, check_only: bool) -> anyhow::Result<bool> {
-    let shown = config.display();
-    let text = std::fs::read_to_string(config).with_context(|| format!("cannot read {shown}"))?;
-    let settings =
-        Settings::read(&text).map_err(|faults| anyhow::anyhow!("{shown}:\n{}", render_faults(&faults)))?;
+fn run(config: &Path, check_only: bool) -> anyhow::Result<bool> {
+    let settings = read_file(config, Settings::read)?;
     if check_only {
-        println!("{shown}: the settings are valid");
+        println!("{}: the settings are valid", config.display());
         return Ok(true);
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/reedsail_dispatch/src/gossip_timing.rs
+++ b/crates/reedsail_dispatch/src/gossip_timing.rs
@@ -25,9 +25,11 @@
 /// Least silence after which a peer is not counted on to read the store, in milliseconds. Chosen, not
 /// measured.
 const READER_SILENT_MIN_MS: u64 = 600;
-/// Silence means something after this many intervals at least: one message may be lost.
+/// Silence means something after this many intervals at least: one message may be lost. Chosen,
+/// not measured.
 const SILENT_INTERVALS: u64 = 3;
-/// An update takes this many intervals at most to arrive: one message may be lost.
+/// An update takes this many intervals at most to arrive: one message may be lost. Chosen,
+/// not measured.
 const UPDATE_INTERVALS: u64 = 2;
 
 /// The times that follow from the number of peers.
--- a/crates/reedsail_dispatch/src/prefix_memory.rs
+++ b/crates/reedsail_dispatch/src/prefix_memory.rs
@@ -22,7 +22,7 @@
 const CACHED_MS: u64 = 20_000;
 /// Interval at which a segment in use is reported to peers again, in milliseconds. Chosen, not measured.
 const REPORT_AGAIN_MS: u64 = 5_000;
-/// Reports that a row stands in, since a report may be lost.
+/// Reports that a row stands in, since a report may be lost. Chosen, not measured.
 const REPORTS_PER_ROW: u8 = 2;
 /// Rows of one report at most, which keeps a datagram under 4 kB. Chosen, not measured.
 const ROWS_MAX: usize = 256;
--- a/crates/reedsail_dispatch/src/retry.rs
+++ b/crates/reedsail_dispatch/src/retry.rs
@@ -29,7 +29,7 @@
 pub const ATTEMPTS_MAX: usize = 6;
 /// Times that one stream goes on elsewhere at most. Chosen, not measured.
 pub const RESUMES_MAX: usize = 3;
-/// Buckets of a window.
+/// Buckets of a window. Chosen, not measured.
 const BUCKETS: usize = 10;
 /// Fewest instances that the fleet's slack is divided among, so that one that knows no peers does not
 /// take all of it: the smallest deployment of the users has as many.
--- a/crates/reedsail_document/src/lib.rs
+++ b/crates/reedsail_document/src/lib.rs
@@ -3,12 +3,14 @@
 //! Settings and bundles share it, so that both report in the same words.
 
 mod fault;
+mod file;
 mod mapping;
 mod value;
 
 pub use fault::Fault;
 pub use fault::Faults;
 pub use fault::render_faults;
+pub use file::read_file;
 pub use mapping::Mapping;
 pub use value::Value;
 
--- a/crates/reedsail_router/src/program.rs
+++ b/crates/reedsail_router/src/program.rs
@@ -1,11 +1,9 @@
 //! The program around a router: flags, settings, signals, exit codes.
 
-use std::path::Path;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use anyhow::Context as _;
-use reedsail_document::render_faults;
+use reedsail_document::read_file;
 use reedsail_events::LineSink;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
@@ -56,12 +54,6 @@
     }
 }
 
-fn read_settings(path: &Path) -> anyhow::Result<RouterSettings> {
-    let shown = path.display();
-    let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {shown}"))?;
-    RouterSettings::read(&text).map_err(|faults| anyhow::anyhow!("{shown}:\n{}", render_faults(&faults)))
-}
-
 fn run<H, C, S>(
     flags: &ProgramFlags,
     protocol: H,
@@ -72,7 +64,7 @@
     C: ConfigurationSource,
     S: ServerSource,
 {
-    let settings = read_settings(&flags.settings)?;
+    let settings = read_file(&flags.settings, RouterSettings::read)?;
     if flags.check {
         println!("{}: the settings are valid", flags.settings.display());
         return Ok(true);
@@ -94,7 +86,7 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                _ = hangup.recv() => match read_settings(&flags.settings) {
+                _ = hangup.recv() => match read_file(&flags.settings, RouterSettings::read) {
                     Ok(settings) => router.reload(&settings).await,
                     Err(error) => router.note_bad_settings(&format!("{error:#}")),
                 },
