--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -98,14 +98,18 @@
 }
 
 fn fail<H>(guard: AttemptGuard<H>, sent: Sent, kind: ErrorKind) -> AttemptResult<H> {
+    guard.close(outcome_of(kind));
+    AttemptResult::Failed(sent, kind)
+}
+
+/// Returns what an error after the sending says of the server.
+pub(super) fn outcome_of(kind: ErrorKind) -> AttemptOutcome {
     // A deadline of the caller's own says little of the server; overdue answers are judged apart.
-    let outcome = if kind == ErrorKind::DeadlineAfterSend {
+    if kind == ErrorKind::DeadlineAfterSend {
         AttemptOutcome::Abandoned
     } else {
         AttemptOutcome::Failed
-    };
-    guard.close(outcome);
-    AttemptResult::Failed(sent, kind)
+    }
 }
 
 async fn open<H>(shared: &Shared<H>, call: &Call, server: &ServerView) -> Option<HttpConnection> {
--- a/crates/reedsail_router/src/traffic/relay_whole.rs
+++ b/crates/reedsail_router/src/traffic/relay_whole.rs
@@ -17,6 +17,7 @@
 use super::Pool;
 use super::call::Call;
 use super::exchange::Answering;
+use super::exchange::outcome_of;
 use crate::shared::Shared;
 
 /// Size of an answer that is read whole at most, in bytes. Chosen, not measured.
@@ -53,11 +54,7 @@
     let body = match read_whole(shared, call, body).await {
         Ok(body) => body,
         Err(kind) => {
-            attempt.break_off(if kind == ErrorKind::DeadlineAfterSend {
-                AttemptOutcome::Abandoned
-            } else {
-                AttemptOutcome::Failed
-            });
+            attempt.break_off(outcome_of(kind));
             return Err(sent.fail(kind));
         }
     };
