--- a/crates/reedsail_core/src/key.rs
+++ b/crates/reedsail_core/src/key.rs
@@ -32,6 +32,13 @@
     pub fn of(name: &str) -> Self {
         Self(XxHash64::oneshot(0, name.as_bytes()) as u32)
     }
+
+    /// Returns the weight of this name for a key by rendezvous hashing (Thaler and Ravishankar, 1998): of
+    /// some candidates, the one with the greatest weight has the key, and the loss of another one moves
+    /// nothing. The same in every process and release.
+    pub fn rendezvous_weight(self, key: u64) -> u64 {
+        XxHash64::oneshot(key, &self.0.to_le_bytes())
+    }
 }
 
 /// A key that a [`KeyTable`] can hand out.
--- a/crates/reedsail_dispatch/src/placement.rs
+++ b/crates/reedsail_dispatch/src/placement.rs
@@ -21,7 +21,6 @@
 use reedsail_core::NameHash;
 use reedsail_core::ServerKey;
 use reedsail_core::TimeMs;
-use twox_hash::XxHash64;
 
 use crate::Demand;
 use crate::Placement;
@@ -172,11 +171,11 @@
         })
     }
 
-    /// Ranks servers for a segment by rendezvous hashing (Thaler and Ravishankar, 1998).
+    /// Ranks servers for a segment by rendezvous hashing.
     fn rank(&self, servers: &mut [ServerKey], segment: u64) {
         servers.sort_by_cached_key(|key| {
             let name = self.servers.get(*key).setup.name;
-            std::cmp::Reverse(XxHash64::oneshot(segment, &name.0.to_le_bytes()))
+            std::cmp::Reverse(name.rendezvous_weight(segment))
         });
     }
 
--- a/crates/reedsail_scheduling/src/membership.rs
+++ b/crates/reedsail_scheduling/src/membership.rs
@@ -7,7 +7,6 @@
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
-use twox_hash::XxHash64;
 
 /// Time for which a daemon that failed to answer is suspected at first, in milliseconds. Chosen, not
 /// measured.
@@ -195,9 +194,9 @@
 /// Orders candidates for a role by rendezvous hashing: the first one alive has it.
 ///
 /// Everybody who sees the same candidates reaches the same order, and the loss of one moves only
-/// its own duties (Thaler and Ravishankar, 1998).
+/// its own duties.
 pub fn rank_by_rendezvous(role: u64, candidates: &[NameHash]) -> Vec<NameHash> {
     let mut ranked: Vec<NameHash> = candidates.to_vec();
-    ranked.sort_by_key(|candidate| std::cmp::Reverse(XxHash64::oneshot(role, &candidate.0.to_le_bytes())));
+    ranked.sort_by_key(|candidate| std::cmp::Reverse(candidate.rendezvous_weight(role)));
     ranked
 }
