--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -1,9 +1,9 @@
 //! Store reader: which instance of a failure domain reads the platform's store.
 //!
 //! **Rule.** The instance with the smallest name hash among those of its failure domain that sent a
-//! load message recently and are not stopping reads the store; the others learn from its load messages. An instance
-//! whose own knowledge is older than [`SERVERS_STALE_MS`] or [`CONFIGURATION_STALE_MS`] reads the store
-//! itself, even if another one is the reader.
+//! load message recently and are not stopping reads the store; the others learn from its load messages.
+//! An instance whose own knowledge is older than [`SERVERS_STALE_MS`] or [`CONFIGURATION_STALE_MS`] reads
+//! the store itself, even if another one is the reader.
 //!
 //! **Inputs.** Peers with their failure domain, silence (milliseconds) and whether they stop; the age of
 //! what is known (milliseconds); the gossip timing.
@@ -26,8 +26,7 @@
 /// fleet. Trials at 600 and 2,400: docs/DECISIONS.md.
 const SERVERS_STALE_MS: u64 = 1_200;
 /// Age of the configuration from which an instance reads it itself, in milliseconds; it is read less often
-/// than the servers. Trials at
-/// 850 and 3,400: docs/DECISIONS.md.
+/// than the servers. Trials at 850 and 3,400: docs/DECISIONS.md.
 const CONFIGURATION_STALE_MS: u64 = 1_700;
 
 /// What is read from the store.
--- a/crates/reedsail_router/src/header_values.rs
+++ b/crates/reedsail_router/src/header_values.rs
@@ -65,9 +65,9 @@
 fn read_segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(PromptSegment {
-        // What is no number makes the whole header unreadable, which the caller is told.
+        // A part that is no number makes the whole header unreadable, which the caller is told.
         id: u64::from_str_radix(id, 16).ok()?,
-        tokens: tokens.parse().ok()?, // The same.
+        tokens: tokens.parse().ok()?, // as above
     })
 }
 
