--- a/crates/reedsail_core/src/outcome.rs
+++ b/crates/reedsail_core/src/outcome.rs
@@ -91,7 +91,7 @@
 #[allow(clippy::unused_self, reason = "the proof is used up by being consumed")]
 impl Sent {
     /// The connection handed the whole request back: nothing of it was written.
-    pub fn handed_back(self) -> Unsent {
+    pub fn into_unsent(self) -> Unsent {
         Unsent(())
     }
 
--- a/crates/reedsail_net/src/exchange.rs
+++ b/crates/reedsail_net/src/exchange.rs
@@ -41,7 +41,7 @@
     };
     match answer {
         Ok(response) => Exchange::Head(sent, Box::new(response), connection),
-        Err(SendError::NotWritten(request)) => Exchange::HandedBack(sent.handed_back(), request),
+        Err(SendError::NotWritten(request)) => Exchange::HandedBack(sent.into_unsent(), request),
         Err(SendError::AfterWrite(_)) => Exchange::Failed(sent, ErrorKind::BackendFailed),
     }
 }
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -202,7 +202,7 @@
         AnswerHead::NotRun => {
             guard.close(AttemptOutcome::Rejected);
             // The server's word takes the place of never having sent.
-            AttemptResult::Rejected(sent.handed_back())
+            AttemptResult::Rejected(sent.into_unsent())
         }
         AnswerHead::Ran => {
             let (head, body) = response.into_parts();
