--- a/crates/reedsail_cli/src/requests_command.rs
+++ b/crates/reedsail_cli/src/requests_command.rs
@@ -2,8 +2,8 @@
 
 use reedsail_events::Event;
 use reedsail_events::merge_events;
-use reedsail_fairness::SECONDS;
 use reedsail_fairness::ShareWindow;
+use reedsail_fairness::WINDOW_S;
 
 use crate::failure::Failure;
 use crate::flags::requests::Requests;
@@ -126,7 +126,7 @@
                 || vec!["none".to_owned()],
                 |window| {
                     let begins = format!("{:.2}", window.from_ms as f64 / 1_000.0);
-                    vec![format!("{:.2}", window.ratio()), begins, window.best.clone()]
+                    vec![format!("{:.2}", window.ratio()), begins, window.best_workspace.clone()]
                 },
             );
             std::iter::once(name.clone()).chain(counts).chain(worst).collect()
@@ -148,7 +148,7 @@
     ];
     println!("{}", render_table(&header, &rows));
     println!(
-        "worst ratio: what a workspace got by half of what it was owed, over {SECONDS} s in each of which it was \
+        "worst ratio: what a workspace got by half of what it was owed, over {WINDOW_S} s in each of which it was \
          refused or late; below 1 it got far less than its share\n"
     );
 }
--- a/crates/reedsail_fairness/src/lib.rs
+++ b/crates/reedsail_fairness/src/lib.rs
@@ -9,5 +9,5 @@
 mod share_window;
 
 pub use share_ledger::ShareLedger;
-pub use share_window::SECONDS;
 pub use share_window::ShareWindow;
+pub use share_window::WINDOW_S;
--- a/crates/reedsail_fairness/src/share_ledger.rs
+++ b/crates/reedsail_fairness/src/share_ledger.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::SECONDS;
 use crate::ShareWindow;
+use crate::WINDOW_S;
 
 /// Steps of a second: windows begin at each of them.
 const STEPS: usize = 4;
@@ -45,7 +45,7 @@
         })
     }
 
-    fn seconds(&self, from: usize) -> [Step; SECONDS] {
+    fn seconds(&self, from: usize) -> [Step; WINDOW_S] {
         std::array::from_fn(|second| self.second(from + second * STEPS))
     }
 }
@@ -92,17 +92,17 @@
     /// Returns every window of a workspace in each second of which it was disappointed.
     pub fn windows(&self) -> impl Iterator<Item = ShareWindow> {
         let lengths = self.accounts.values().map(|account| account.steps.len());
-        let last = lengths.max().unwrap_or(0).saturating_sub(SECONDS * STEPS - 1);
+        let last = lengths.max().unwrap_or(0).saturating_sub(WINDOW_S * STEPS - 1);
         (0..last).flat_map(|from| self.windows_from(from))
     }
 
     fn windows_from(&self, from: usize) -> Vec<ShareWindow> {
-        let seconds: Vec<(&String, [Step; SECONDS])> = self
+        let seconds: Vec<(&String, [Step; WINDOW_S])> = self
             .accounts
             .iter()
             .map(|(workspace, account)| (workspace, account.seconds(from)))
             .collect();
-        let got = |steps: &[Step; SECONDS]| steps.iter().map(|step| step.got).sum::<f64>();
+        let got = |steps: &[Step; WINDOW_S]| steps.iter().map(|step| step.got).sum::<f64>();
         let best = seconds
             .iter()
             .max_by(|(_, left), (_, right)| got(left).total_cmp(&got(right)));
@@ -115,13 +115,13 @@
         disappointed
             .map(|(workspace, steps)| ShareWindow {
                 workspace: (*workspace).clone(),
-                best: (*best).clone(),
+                best_workspace: (*best).clone(),
                 from_ms: from as u64 * STEP_MS,
-                requested: steps.iter().map(|step| step.requested).sum(),
-                got: got(steps),
-                best_got: got(best_steps),
-                owed: owed(steps, best_steps),
-                largest: steps.iter().map(|step| step.largest).fold(0.0, f64::max),
+                requested_cost: steps.iter().map(|step| step.requested).sum(),
+                begun_cost: got(steps),
+                best_begun_cost: got(best_steps),
+                entitled_cost: owed(steps, best_steps),
+                largest_request_cost: steps.iter().map(|step| step.largest).fold(0.0, f64::max),
             })
             .collect()
     }
@@ -135,7 +135,7 @@
 }
 
 /// Returns the smaller of what a workspace requested and what the best served one got, second by second.
-fn owed(steps: &[Step; SECONDS], best: &[Step; SECONDS]) -> f64 {
+fn owed(steps: &[Step; WINDOW_S], best: &[Step; WINDOW_S]) -> f64 {
     let pairs = steps.iter().zip(best);
     pairs.map(|(step, best)| step.requested.min(best.got)).sum()
 }
--- a/crates/reedsail_fairness/tests/share_ledger.rs
+++ b/crates/reedsail_fairness/tests/share_ledger.rs
@@ -31,10 +31,10 @@
     assert_eq!(worst.len(), 1, "the best served one was never disappointed");
     let window = &worst[0];
     assert_eq!(
-        (window.workspace.as_str(), window.best.as_str()),
+        (window.workspace.as_str(), window.best_workspace.as_str()),
         ("starved", "best")
     );
-    assert!((window.requested, window.got, window.owed) == (600.0, 60.0, 600.0));
+    assert!((window.requested_cost, window.begun_cost, window.entitled_cost) == (600.0, 60.0, 600.0));
     assert!(
         (window.ratio() - 150.0 / 600.0).abs() < 1e-9,
         "{}",
@@ -60,7 +60,7 @@
         .into_iter()
         .find(|window| window.workspace == "starved");
     let window = starved.unwrap();
-    assert!((window.owed - 120.0).abs() < 1e-9);
+    assert!((window.entitled_cost - 120.0).abs() < 1e-9);
     assert!(window.ratio() > 1.0, "{}", window.ratio());
 }
 
