--- a/crates/reedsail_cli/src/workspace_summary.rs
+++ b/crates/reedsail_cli/src/workspace_summary.rs
@@ -72,7 +72,7 @@
             self.ledger.record_begun(&workspace, tokens as f64, begun_ms);
         }
         if first_event_ms.is_none_or(|first_event_ms| first_event_ms > target_ms) {
-            self.ledger.record_disappointed(&workspace, arrived_ms);
+            self.ledger.record_refused_or_late(&workspace, arrived_ms);
         }
     }
 
@@ -85,7 +85,7 @@
         counted.refused += tokens;
         counted.over_share += if is_over_share { tokens } else { 0 };
         self.ledger.record_request(&workspace, tokens as f64, arrived_ms);
-        self.ledger.record_disappointed(&workspace, at_ms);
+        self.ledger.record_refused_or_late(&workspace, at_ms);
     }
 
     fn of_workspace(&mut self, event: &Event) -> &mut WorkspaceTokens {
--- a/crates/reedsail_fairness/src/share_ledger.rs
+++ b/crates/reedsail_fairness/src/share_ledger.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records that a request was refused, or waited for longer than its route aims at.
-    pub fn record_disappointed(&mut self, workspace: &str, at_ms: u64) {
+    pub fn record_refused_or_late(&mut self, workspace: &str, at_ms: u64) {
         self.account(workspace).step(at_ms).is_disappointed = true;
     }
 
--- a/crates/reedsail_fairness/tests/share_ledger.rs
+++ b/crates/reedsail_fairness/tests/share_ledger.rs
@@ -17,7 +17,7 @@
         if number.is_multiple_of(begun_in) {
             ledger.record_begun(workspace, 10.0, at_ms);
         } else if !is_calm(at_ms / 1_000) {
-            ledger.record_disappointed(workspace, at_ms);
+            ledger.record_refused_or_late(workspace, at_ms);
         }
     }
 }
@@ -74,7 +74,7 @@
         ledger.record_begun("best", 10.0, at_ms);
         ledger.record_request("starved", 10.0, at_ms);
         if (1_500..7_750).contains(&at_ms) {
-            ledger.record_disappointed("starved", at_ms);
+            ledger.record_refused_or_late("starved", at_ms);
         }
     }
     let mut begins: Vec<u64> = ledger.windows().map(|window| window.from_ms).collect();
--- a/crates/reedsail_simulation/src/fleet.rs
+++ b/crates/reedsail_simulation/src/fleet.rs
@@ -323,8 +323,8 @@
             _ => workspace.would_miss_target += 1,
         }
         let name = &self.scenario.workspaces[request.workspace].name;
-        self.outcome.ledger.record_disappointed(name, now_us / 1_000);
-        self.outcome.accepted.record_disappointed(name, now_us / 1_000);
+        self.outcome.ledger.record_refused_or_late(name, now_us / 1_000);
+        self.outcome.accepted.record_refused_or_late(name, now_us / 1_000);
         if request.has_come_back {
             return;
         }
@@ -376,8 +376,8 @@
         let is_late = now_us - run.arrived_us > request.latency_target_ms * 1_000;
         if is_late {
             outcome.late += 1;
-            self.outcome.ledger.record_disappointed(name, now_us / 1_000);
-            self.outcome.accepted.record_disappointed(name, now_us / 1_000);
+            self.outcome.ledger.record_refused_or_late(name, now_us / 1_000);
+            self.outcome.accepted.record_refused_or_late(name, now_us / 1_000);
         } else {
             outcome.in_target += 1;
         }
