--- a/crates/reedsail_gossip/src/exchange_messages.rs
+++ b/crates/reedsail_gossip/src/exchange_messages.rs
@@ -13,7 +13,7 @@
 
 /// Who this instance is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Identity {
+pub struct InstanceIdentity {
     /// Its name.
     pub instance: NameHash,
     /// Its failure domain.
@@ -26,7 +26,7 @@
 
 /// What every message says of its sender beside the load.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct MessageHead {
+pub struct MessageHeader {
     /// The configuration in force; zero for none.
     pub configuration_version: u64,
     /// How long ago that was known to be the newest, in milliseconds.
@@ -58,7 +58,7 @@
 
 /// What a message means.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Receipt {
+pub struct ReceiveOutcome {
     /// What it means for its sender.
     pub arrival: Arrival,
     /// A source whose load counts from now on in place of its last one.
@@ -73,12 +73,12 @@
     /// The peer that it came from.
     pub instance: NameHash,
     /// Its address, if its messages were expected and stayed away; `None` if it reports elsewhere now.
-    pub silent_at: Option<SocketAddrV4>,
+    pub silent_address: Option<SocketAddrV4>,
 }
 
 /// Whom this instance reports its load to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportsTo {
+pub enum ReportTarget {
     /// Nobody: it aggregates itself.
     Itself,
     /// The aggregator at this address.
@@ -87,7 +87,7 @@
 
 /// An instance's place among those of its failure domain, which have an order that all agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DomainPlace {
+pub struct DomainPosition {
     /// How many come before it.
     pub position: usize,
     /// How many there are, this one included.
--- a/crates/reedsail_gossip/src/fleet_view.rs
+++ b/crates/reedsail_gossip/src/fleet_view.rs
@@ -6,7 +6,7 @@
 use reedsail_core::TimeMs;
 use reedsail_wire::LoadMessage;
 
-use crate::DomainPlace;
+use crate::DomainPosition;
 use crate::ExchangePace;
 use crate::exchange_timing::FLEET_SIZE_VALID_MS;
 
@@ -21,7 +21,7 @@
     domain_instances: u32,
     load_age_ms: u32,
     /// This instance's place among the members that the sum includes.
-    place: DomainPlace,
+    place: DomainPosition,
 }
 
 /// The last sum, and what direct messages say of the size.
@@ -43,7 +43,7 @@
             instances: sum.instances,
             domain_instances: sum.domain_instances,
             load_age_ms: sum.load_age_ms,
-            place: DomainPlace {
+            place: DomainPosition {
                 position,
                 instances: sum.included.len().max(1),
             },
@@ -82,7 +82,7 @@
     }
 
     /// Returns this instance's place among the members of its aggregator, while sums come.
-    pub(crate) fn place(&self, now: TimeMs) -> Option<DomainPlace> {
+    pub(crate) fn place(&self, now: TimeMs) -> Option<DomainPosition> {
         let sum = self.sum?;
         (now < sum.valid_until).then_some(sum.place)
     }
--- a/crates/reedsail_gossip/src/head_mark.rs
+++ b/crates/reedsail_gossip/src/head_mark.rs
@@ -2,7 +2,7 @@
 
 use reedsail_dispatch::EvacuationRow;
 
-use crate::MessageHead;
+use crate::MessageHeader;
 
 /// The part of a message's head whose changes are urgent. Departures change with the digest of the servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -14,7 +14,7 @@
 }
 
 impl HeadMark {
-    pub(crate) fn of(head: &MessageHead) -> Self {
+    pub(crate) fn of(head: &MessageHeader) -> Self {
         Self {
             configuration_version: head.configuration_version,
             servers_digest: head.servers_digest,
--- a/crates/reedsail_gossip/src/lib.rs
+++ b/crates/reedsail_gossip/src/lib.rs
@@ -27,13 +27,13 @@
 mod prefix_relay;
 mod sent_reports;
 
-pub use exchange_messages::DomainPlace;
-pub use exchange_messages::Identity;
+pub use exchange_messages::DomainPosition;
+pub use exchange_messages::InstanceIdentity;
 pub use exchange_messages::LostSource;
-pub use exchange_messages::MessageHead;
+pub use exchange_messages::MessageHeader;
 pub use exchange_messages::Outgoing;
-pub use exchange_messages::Receipt;
-pub use exchange_messages::ReportsTo;
+pub use exchange_messages::ReceiveOutcome;
+pub use exchange_messages::ReportTarget;
 pub use exchange_pace::ExchangePace;
 pub use exchange_timing::AGGREGATE_INTERVAL_MS;
 pub use exchange_timing::DIRECT_INSTANCES_MAX;
--- a/crates/reedsail_gossip/src/load_exchange/mod.rs
+++ b/crates/reedsail_gossip/src/load_exchange/mod.rs
@@ -16,13 +16,13 @@
 use reedsail_dispatch::GossipTiming;
 use reedsail_wire::LoadScope;
 
-use crate::DomainPlace;
+use crate::DomainPosition;
 use crate::ExchangePace;
-use crate::Identity;
+use crate::InstanceIdentity;
 use crate::LostSource;
 use crate::PeerTable;
 use crate::PrefixRelay;
-use crate::ReportsTo;
+use crate::ReportTarget;
 use crate::SentReports;
 use crate::aggregator_choice::AggregatorChoice;
 use crate::exchange_timing::DIRECT_INSTANCES_MAX;
@@ -55,7 +55,7 @@
 /// The exchange of one instance.
 #[derive(Debug)]
 pub struct LoadExchange {
-    identity: Identity,
+    identity: InstanceIdentity,
     sequence: u32,
     peers: PeerTable,
     choice: AggregatorChoice,
@@ -85,7 +85,7 @@
 
 impl LoadExchange {
     /// Makes the exchange of an instance that knows nobody.
-    pub fn new(identity: Identity, seeds: Vec<SocketAddrV4>) -> Self {
+    pub fn new(identity: InstanceIdentity, seeds: Vec<SocketAddrV4>) -> Self {
         let mut peers = PeerTable::new(identity.instance);
         peers.set_seeds(seeds);
         Self {
@@ -128,14 +128,14 @@
         let mut lost = Vec::new();
         for instance in self.reports.drop_expired(now) {
             if self.sources.remove(&instance).is_some() {
-                let silent_at = None;
-                lost.push(LostSource { instance, silent_at });
+                let silent_address = None;
+                lost.push(LostSource { instance, silent_address });
             }
         }
         for (instance, address) in self.peers.drop_silent(now) {
             if self.sources.remove(&instance).is_some() {
-                let silent_at = Some(address);
-                lost.push(LostSource { instance, silent_at });
+                let silent_address = Some(address);
+                lost.push(LostSource { instance, silent_address });
             }
         }
         self.count_direct_peers(now);
@@ -174,11 +174,11 @@
     }
 
     /// Returns this instance's place among those of its failure domain.
-    pub fn place_in_domain(&self, now: TimeMs) -> DomainPlace {
+    pub fn domain_position(&self, now: TimeMs) -> DomainPosition {
         self.fleet.place(now).unwrap_or_else(|| {
             let own = self.identity.instance;
             let alive: Vec<NameHash> = self.peers.alive_in(self.identity.failure_domain).collect();
-            DomainPlace {
+            DomainPosition {
                 position: alive.iter().filter(|peer| **peer < own).count(),
                 instances: alive.len() + 1,
             }
@@ -234,12 +234,12 @@
     }
 
     /// Returns whom this instance reports to, if that has changed since the last call.
-    pub fn take_aggregator_change(&mut self) -> Option<ReportsTo> {
+    pub fn take_aggregator_change(&mut self) -> Option<ReportTarget> {
         if !std::mem::take(&mut self.is_aggregator_changed) {
             return None;
         }
         let aggregator = self.choice.chosen().and_then(|name| self.peers.get(name));
-        Some(aggregator.map_or(ReportsTo::Itself, |peer| ReportsTo::Aggregator(peer.address)))
+        Some(aggregator.map_or(ReportTarget::Itself, |peer| ReportTarget::Aggregator(peer.address)))
     }
 
     /// Tells whether this instance sends sums: it has members, or nobody to report to.
--- a/crates/reedsail_gossip/src/load_exchange/receive.rs
+++ b/crates/reedsail_gossip/src/load_exchange/receive.rs
@@ -12,12 +12,12 @@
 use super::Source;
 use crate::Arrival;
 use crate::ExchangePace;
-use crate::Receipt;
+use crate::ReceiveOutcome;
 
 impl LoadExchange {
     /// Takes in a message.
-    pub fn receive(&mut self, message: LoadMessage, from: SocketAddrV4, now: TimeMs) -> Receipt {
-        let mut receipt = Receipt {
+    pub fn receive(&mut self, message: LoadMessage, from: SocketAddrV4, now: TimeMs) -> ReceiveOutcome {
+        let mut receipt = ReceiveOutcome {
             arrival: Arrival::Stale,
             counted: None,
             dropped: Vec::new(),
@@ -57,7 +57,7 @@
     }
 
     /// Counts a direct message, unless its load comes in a sum as well.
-    fn receive_direct(&mut self, message: LoadMessage, receipt: &mut Receipt, now: TimeMs) {
+    fn receive_direct(&mut self, message: LoadMessage, receipt: &mut ReceiveOutcome, now: TimeMs) {
         let is_summed = message.protocol > 0 && self.is_aggregated(now);
         if !is_summed {
             self.count(message, receipt);
@@ -68,7 +68,7 @@
         &mut self,
         message: LoadMessage,
         from: SocketAddrV4,
-        receipt: &mut Receipt,
+        receipt: &mut ReceiveOutcome,
         now: TimeMs,
     ) {
         self.reports.receive_member(&message, from, now);
@@ -82,7 +82,7 @@
         &mut self,
         message: LoadMessage,
         from: SocketAddrV4,
-        receipt: &mut Receipt,
+        receipt: &mut ReceiveOutcome,
         now: TimeMs,
     ) {
         self.reports.receive_aggregate(&message, from, now);
@@ -101,7 +101,7 @@
     }
 
     /// Counts the sum over the fleet without this instance's own part, in place of everything else.
-    fn receive_fleet(&mut self, mut message: LoadMessage, receipt: &mut Receipt, now: TimeMs) {
+    fn receive_fleet(&mut self, mut message: LoadMessage, receipt: &mut ReceiveOutcome, now: TimeMs) {
         self.choice
             .record_message(message.instance, pace_of(&message), now);
         let own = self.identity.instance;
@@ -117,7 +117,7 @@
         self.count(message, receipt);
     }
 
-    fn count(&mut self, message: LoadMessage, receipt: &mut Receipt) {
+    fn count(&mut self, message: LoadMessage, receipt: &mut ReceiveOutcome) {
         let source = Source {
             scope: message.scope,
             protocol: message.protocol,
@@ -127,7 +127,7 @@
         receipt.counted = Some((message.instance, message.load));
     }
 
-    fn drop_sources(&mut self, receipt: &mut Receipt, is_dropped: impl Fn(NameHash, Source) -> bool) {
+    fn drop_sources(&mut self, receipt: &mut ReceiveOutcome, is_dropped: impl Fn(NameHash, Source) -> bool) {
         self.sources.retain(|instance, source| {
             let is_dropped = is_dropped(*instance, *source);
             if is_dropped {
--- a/crates/reedsail_gossip/src/load_exchange/send.rs
+++ b/crates/reedsail_gossip/src/load_exchange/send.rs
@@ -14,7 +14,7 @@
 use super::PACED_PROTOCOL;
 use super::PROTOCOL;
 use crate::ExchangePace;
-use crate::MessageHead;
+use crate::MessageHeader;
 use crate::Outgoing;
 use crate::Peer;
 use crate::aggregator_choice::aggregators_of;
@@ -32,12 +32,12 @@
 impl LoadExchange {
     /// Tells whether the next load report is due: by the tick that is nearest to its moment, or an early tick
     /// would double the interval; or at once, where peers must learn something new.
-    pub fn is_due(&self, head: &MessageHead, now: TimeMs) -> bool {
+    pub fn is_due(&self, head: &MessageHeader, now: TimeMs) -> bool {
         self.is_nearest_tick(self.next_message_at, now) || self.is_urgent(head, now)
     }
 
     /// Tells whether peers must learn at once what this instance knows. In small fleets the next message is soon enough.
-    pub fn is_urgent(&self, head: &MessageHead, now: TimeMs) -> bool {
+    pub fn is_urgent(&self, head: &MessageHeader, now: TimeMs) -> bool {
         self.is_aggregated(now) && HeadMark::of(head) != self.announced
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Returns the messages to send now; `load` is this instance's report if it is due.
-    pub fn outgoing(&mut self, head: &MessageHead, load: Option<LoadReport>, now: TimeMs) -> Vec<Outgoing> {
+    pub fn outgoing(&mut self, head: &MessageHeader, load: Option<LoadReport>, now: TimeMs) -> Vec<Outgoing> {
         let mut outgoing = self.welcome_new_peers(head, now);
         let Some(load) = load else {
             return outgoing;
@@ -74,7 +74,7 @@
     }
 
     /// Tells new peers who is there, so that each finds its aggregator at once.
-    fn welcome_new_peers(&mut self, head: &MessageHead, now: TimeMs) -> Vec<Outgoing> {
+    fn welcome_new_peers(&mut self, head: &MessageHeader, now: TimeMs) -> Vec<Outgoing> {
         let new_peers = std::mem::take(&mut self.new_peers);
         let mut outgoing = Vec::new();
         for peer in new_peers {
@@ -93,7 +93,7 @@
     /// seeds while no sum comes.
     fn send_direct(
         &mut self,
-        head: &MessageHead,
+        head: &MessageHeader,
         load: LoadReport,
         is_aggregated: bool,
         outgoing: &mut Vec<Outgoing>,
@@ -119,7 +119,7 @@
     /// Sends the own load to the aggregator, or the sums to members and other aggregators.
     fn send_aggregated(
         &mut self,
-        head: &MessageHead,
+        head: &MessageHeader,
         load: LoadReport,
         is_urgent: bool,
         outgoing: &mut Vec<Outgoing>,
@@ -145,7 +145,7 @@
     /// one alone sends heartbeats to other aggregators, unless there is something urgent.
     fn send_sums(
         &mut self,
-        head: &MessageHead,
+        head: &MessageHeader,
         own: &LoadReport,
         is_urgent: bool,
         outgoing: &mut Vec<Outgoing>,
@@ -185,7 +185,7 @@
         ranks.all(|rank| rank > self.own_rank())
     }
 
-    fn aggregate_for_others(&mut self, head: &MessageHead, summed: &SummedLoad, now: TimeMs) -> Outgoing {
+    fn aggregate_for_others(&mut self, head: &MessageHeader, summed: &SummedLoad, now: TimeMs) -> Outgoing {
         let targets = self.other_aggregators(now);
         let interval_ms = self.own_pace.between_aggregators_ms(targets.len());
         self.next_aggregate_at = now.plus_ms(interval_ms);
@@ -198,7 +198,7 @@
         Outgoing { message, targets }
     }
 
-    fn sum_for_members(&mut self, head: &MessageHead, mut summed: SummedLoad, now: TimeMs) -> Outgoing {
+    fn sum_for_members(&mut self, head: &MessageHeader, mut summed: SummedLoad, now: TimeMs) -> Outgoing {
         self.next_sum_at = now.plus_ms(self.own_pace.load_interval_ms());
         self.reports.add_aggregates(&mut summed, now);
         let load = summed.sum.report(FLEET_ROWS_MAX);
@@ -214,7 +214,7 @@
 
     fn sum_message(
         &mut self,
-        head: &MessageHead,
+        head: &MessageHeader,
         scope: LoadScope,
         summed: &SummedLoad,
         load: LoadReport,
@@ -264,7 +264,7 @@
         aggregators_of(self.fleet.domain_instances(now), best_milli)
     }
 
-    fn message(&mut self, head: &MessageHead, scope: LoadScope, load: LoadReport) -> LoadMessage {
+    fn message(&mut self, head: &MessageHeader, scope: LoadScope, load: LoadReport) -> LoadMessage {
         self.sequence = self.sequence.wrapping_add(1);
         LoadMessage {
             instance: self.identity.instance,
--- a/crates/reedsail_gossip/tests/peer_starts.rs
+++ b/crates/reedsail_gossip/tests/peer_starts.rs
@@ -7,9 +7,9 @@
 use reedsail_core::TimeMs;
 use reedsail_dispatch::LoadReport;
 use reedsail_gossip::Arrival;
-use reedsail_gossip::Identity;
+use reedsail_gossip::InstanceIdentity;
 use reedsail_gossip::LoadExchange;
-use reedsail_gossip::MessageHead;
+use reedsail_gossip::MessageHeader;
 
 const START: TimeMs = TimeMs(10_000);
 
@@ -18,7 +18,7 @@
 }
 
 fn exchange(name: &str, incarnation: u32, seeds: Vec<SocketAddrV4>) -> LoadExchange {
-    let identity = Identity {
+    let identity = InstanceIdentity {
         instance: NameHash::of(name),
         incarnation,
         failure_domain: NameHash::of("hall-a"),
@@ -29,7 +29,7 @@
 
 /// Sends the sender's next message to the receiver.
 fn send(sender: &mut LoadExchange, receiver: &mut LoadExchange, now: TimeMs) -> Arrival {
-    let outgoing = sender.outgoing(&MessageHead::default(), Some(LoadReport::default()), now);
+    let outgoing = sender.outgoing(&MessageHeader::default(), Some(LoadReport::default()), now);
     let message = outgoing.into_iter().next().unwrap().message;
     receiver.receive(message, address(2), now).arrival
 }
--- a/crates/reedsail_gossip/tests/simulated_network/mod.rs
+++ b/crates/reedsail_gossip/tests/simulated_network/mod.rs
@@ -19,9 +19,9 @@
 use reedsail_dispatch::PrefixRow;
 use reedsail_dispatch::ServerLoadRow;
 use reedsail_dispatch::SuspectRow;
-use reedsail_gossip::Identity;
+use reedsail_gossip::InstanceIdentity;
 use reedsail_gossip::LoadExchange;
-use reedsail_gossip::MessageHead;
+use reedsail_gossip::MessageHeader;
 use reedsail_wire::LoadMessage;
 use reedsail_wire::LoadScope;
 
@@ -75,7 +75,7 @@
     sent_messages: u64,
     /// What it reports beside the server whose load is followed.
     load: LoadReport,
-    head: MessageHead,
+    head: MessageHeader,
     traffic: Traffic,
     /// The first release, which sends its load to everyone and knows no sums.
     is_old: bool,
@@ -160,9 +160,9 @@
                     known_segments: HashSet::new(),
                     sent_messages: 0,
                     load: LoadReport::default(),
-                    head: MessageHead {
+                    head: MessageHeader {
                         load_pressure_milli: BUSY_MILLI,
-                        ..MessageHead::default()
+                        ..MessageHeader::default()
                     },
                     traffic: Traffic::default(),
                     is_old: false,
@@ -506,8 +506,8 @@
     (0..SEEDS).map(address).collect()
 }
 
-fn identity(index: usize, domains: usize, processor_milli: u32, random: &mut StdRng) -> Identity {
-    Identity {
+fn identity(index: usize, domains: usize, processor_milli: u32, random: &mut StdRng) -> InstanceIdentity {
+    InstanceIdentity {
         instance: name(index),
         failure_domain: NameHash::of(&format!("domain-{}", index % domains)),
         incarnation: random.random(),
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -19,12 +19,12 @@
 use reedsail_dispatch::stale_in;
 use reedsail_events::EventKind;
 use reedsail_gossip::Arrival;
-use reedsail_gossip::Identity;
+use reedsail_gossip::InstanceIdentity;
 use reedsail_gossip::LoadExchange;
-use reedsail_gossip::MessageHead;
+use reedsail_gossip::MessageHeader;
 use reedsail_gossip::Outgoing;
-use reedsail_gossip::Receipt;
-use reedsail_gossip::ReportsTo;
+use reedsail_gossip::ReceiveOutcome;
+use reedsail_gossip::ReportTarget;
 use xtra::Actor;
 use xtra::Context;
 use xtra::Handler;
@@ -82,7 +82,7 @@
 /// The state of the control thread.
 pub(crate) struct Control<H> {
     shared: Arc<Shared<H>>,
-    identity: Identity,
+    identity: InstanceIdentity,
     exchange: LoadExchange,
     started_at: TimeMs,
     servers: ServerList,
@@ -103,7 +103,7 @@
 
 impl<H: HeaderProtocol> Control<H> {
     pub(crate) fn new(shared: Arc<Shared<H>>) -> Self {
-        let identity = Identity {
+        let identity = InstanceIdentity {
             instance: NameHash::of(&shared.settings.instance),
             failure_domain: NameHash::of(&shared.settings.failure_domain),
             incarnation: rand::random::<u32>().max(1),
@@ -154,7 +154,7 @@
         if is_reader(own, reads_for, candidates, timing) {
             return ReadTurn::Now(self.servers.revision());
         }
-        let place = self.exchange.place_in_domain(now);
+        let place = self.exchange.domain_position(now);
         match stale_in(topic, age_ms, timing) {
             Staleness::For(stale_ms) if is_turn(place.position, place.instances, stale_ms) => {
                 ReadTurn::Now(self.servers.revision())
@@ -167,16 +167,16 @@
     }
 
     /// Makes what each message says of this instance.
-    fn message_head(&self, now: TimeMs) -> MessageHead {
-        MessageHead {
+    fn message_head(&self, now: TimeMs) -> MessageHeader {
+        MessageHeader {
             departures: self.servers.departures(),
             ..self.head_without_departures(now)
         }
     }
 
     /// Makes the same without departures, which are never urgent by themselves and may be many.
-    fn head_without_departures(&self, now: TimeMs) -> MessageHead {
-        MessageHead {
+    fn head_without_departures(&self, now: TimeMs) -> MessageHeader {
+        MessageHeader {
             configuration_version: self.own_version(),
             configuration_age_ms: saturating_ms(self.configuration.age_ms(now)),
             servers_revision: self.servers.revision(),
@@ -231,7 +231,7 @@
     fn drop_silent_peers(&mut self, now: TimeMs) {
         for lost in self.exchange.drop_silent(now) {
             self.shared.dispatcher().drop_peer(lost.instance);
-            if let Some(address) = lost.silent_at {
+            if let Some(address) = lost.silent_address {
                 let fields = [("peer", address.to_string())];
                 self.shared.emit(EventKind::PeerSuspected, &fields);
             }
@@ -266,7 +266,7 @@
     }
 
     /// Has the decisions count the load that a message brought, in place of what it replaces.
-    fn count_load(&self, receipt: Receipt, now: TimeMs) {
+    fn count_load(&self, receipt: ReceiveOutcome, now: TimeMs) {
         let mut dispatcher = self.shared.dispatcher();
         for source in receipt.dropped {
             dispatcher.drop_peer(source);
@@ -288,8 +288,8 @@
         let outgoing = self.exchange.outgoing(&head, load, now);
         if let Some(reports_to) = self.exchange.take_aggregator_change() {
             let aggregator = match reports_to {
-                ReportsTo::Itself => "this instance".to_owned(),
-                ReportsTo::Aggregator(address) => address.to_string(),
+                ReportTarget::Itself => "this instance".to_owned(),
+                ReportTarget::Aggregator(address) => address.to_string(),
             };
             let fields = [("aggregator", aggregator)];
             self.shared.emit(EventKind::AggregatorChanged, &fields);
