--- a/crates/reedsail_core/src/fingerprint.rs
+++ b/crates/reedsail_core/src/fingerprint.rs
@@ -1,11 +1,11 @@
-//! The fingerprint of a request, by which its returns are known as the same request.
+//! The fingerprint of a request, which identifies repetitions of the request.
 
 use std::fmt;
 
-/// A request's fingerprint: equal for requests of one caller with the same address and body, whatever their ids.
+/// A request's fingerprint: equal for requests of one caller with the same address and body, regardless of their ids.
 ///
-/// It must be made so that no caller can find a request with the fingerprint of another caller's, or it could have
-/// that one quarantined.
+/// A caller must not be able to construct a request with the fingerprint of another caller's request. Otherwise the
+/// caller could have that request quarantined.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
--- a/crates/reedsail_core/src/key.rs
+++ b/crates/reedsail_core/src/key.rs
@@ -1,51 +1,52 @@
-//! Small `Copy` keys into arenas, and the hash under which a name travels between daemons.
+//! Small `Copy` keys into arenas, and the hash that identifies a name between instances.
 
 use std::collections::HashMap;
 
 use twox_hash::XxHash64;
 
-/// A moment on the process's own monotonic clock, in milliseconds since its start.
+/// A time on the process's monotonic clock, in milliseconds since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeMs(pub u64);
 
 impl TimeMs {
-    /// Returns the moment `span_ms` later; deadlines are made this way and then stored.
+    /// Returns the time `span_ms` later, for example a deadline.
     #[must_use]
     pub fn plus_ms(self, span_ms: u64) -> Self {
         Self(self.0.saturating_add(span_ms))
     }
 
-    /// Returns how many milliseconds have passed since `earlier`, or zero if it lies ahead.
+    /// Returns the number of milliseconds since `earlier`, or zero if `earlier` is in the future.
     pub fn since_ms(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// A name's 32-bit hash, by which daemons speak of it whatever order their own arenas have.
+/// A name's 32-bit hash. It identifies the name in messages between instances, since the keys of their arenas differ.
 ///
-/// A bundle in which two names of one kind share a hash is refused when it is checked.
+/// The check of a bundle refuses a bundle in which two names of one kind have the same hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NameHash(pub u32);
 
 impl NameHash {
-    /// Hashes a name; the same name gives the same value in every process and release.
+    /// Hashes a name. A name has the same hash in every process and release.
     pub fn of(name: &str) -> Self {
         Self(XxHash64::oneshot(0, name.as_bytes()) as u32)
     }
 
-    /// Returns the weight of this name for a key by rendezvous hashing (Thaler and Ravishankar, 1998): of
-    /// some candidates, the one with the greatest weight has the key, and the loss of another one moves
-    /// nothing. The same in every process and release.
+    /// Returns the weight of this name for a key in rendezvous hashing (Thaler and Ravishankar, 1998).
+    ///
+    /// The candidate with the greatest weight owns the key, and the loss of another candidate moves no key. The
+    /// weight is the same in every process and release.
     pub fn rendezvous_weight(self, key: u64) -> u64 {
         XxHash64::oneshot(key, &self.0.to_le_bytes())
     }
 }
 
-/// A key that a [`KeyTable`] can hand out.
+/// A key type of a [`KeyTable`].
 pub trait TableKey: Copy {
-    /// Makes the key for an index of the arena.
+    /// Creates the key for an index of the arena.
     fn from_index(index: usize) -> Self;
-    /// Returns the index in the arena.
+    /// Returns the key's index in the arena.
     fn index(self) -> usize;
 }
 
@@ -57,7 +58,7 @@
 
         impl TableKey for $name {
             fn from_index(index: usize) -> Self {
-                Self(<$repr>::try_from(index).expect("arena holds no more entries than its key can number"))
+                Self(<$repr>::try_from(index).expect("arena has no more entries than its key type has values"))
             }
 
             fn index(self) -> usize {
@@ -83,9 +84,9 @@
     u16
 );
 
-/// Interns names into dense keys that stay valid for the life of the process.
+/// Interns names as dense keys that stay valid for the lifetime of the process.
 ///
-/// Keys only ever get added, so a table that is indexed by them survives a change of bundle.
+/// Keys are never removed, so a table that is indexed by keys stays valid when the bundle changes.
 #[derive(Clone, Debug)]
 pub struct KeyTable<K> {
     names: Vec<String>,
@@ -104,7 +105,7 @@
 }
 
 impl<K: TableKey> KeyTable<K> {
-    /// Returns the key of `name`, adding it if it is new.
+    /// Returns the key of `name`; adds the name if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         let hash = NameHash::of(name);
         if let Some(key) = self.by_hash.get(&hash) {
@@ -117,33 +118,33 @@
         key
     }
 
-    /// Finds the key of a hash that a peer sent; `None` if this process never met the name.
+    /// Returns the key for a hash from a peer; `None` if this process does not know the name.
     pub fn find(&self, hash: NameHash) -> Option<K> {
         self.by_hash.get(&hash).copied()
     }
 
-    /// Returns the name behind a key.
+    /// Returns the name of a key.
     pub fn name(&self, key: K) -> &str {
         &self.names[key.index()]
     }
 
-    /// Returns the hash under which a key's name travels.
+    /// Returns the hash of a key's name.
     pub fn hash(&self, key: K) -> NameHash {
         self.hashes[key.index()]
     }
 
-    /// Returns how many names are known.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Tells whether no name is known yet.
+    /// Returns whether the table has no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 }
 
-/// The names that this process has met, of every kind that travels between daemons.
+/// The names that this process knows, of each kind that instances exchange.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     /// Workspaces.
--- a/crates/reedsail_core/src/lib.rs
+++ b/crates/reedsail_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! What both programs of the project share: keys and time, the closed list of error kinds, and what may be
-//! said of a request that failed.
+//! Types that both programs of the project share: keys, times, the closed list of error kinds, and the outcome of a
+//! failed request.
 //!
-//! Pure: no I/O, no clock, no runtime. Owns nothing but names; relies on nothing of the project.
+//! Pure: no I/O, no clock, no runtime. Owns only names and depends on no other crate of the project.
 
 mod error_kind;
 mod fingerprint;
--- a/crates/reedsail_core/src/milliseconds.rs
+++ b/crates/reedsail_core/src/milliseconds.rs
@@ -1,9 +1,9 @@
-//! Spans of time as records of others write them.
+//! Durations as external records write them.
 
 use serde::Deserialize;
 
-/// A span of time, in milliseconds. Where it is read from a record it may have fractions, which are rounded up, and
-/// must not be negative.
+/// A duration in milliseconds. In a record, a duration may have a fraction, which is rounded up, and must not be
+/// negative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct Milliseconds(pub u64);
@@ -15,7 +15,7 @@
         if ms.is_finite() && ms >= 0.0 {
             Ok(Self(ms.ceil() as u64))
         } else {
-            Err(format!("{ms} is no span in milliseconds"))
+            Err(format!("invalid duration {ms}; write a non-negative number of milliseconds"))
         }
     }
 }
--- a/crates/reedsail_core/src/outcome.rs
+++ b/crates/reedsail_core/src/outcome.rs
@@ -1,12 +1,12 @@
-//! What may be said of a request that failed, kept straight by types.
+//! The outcome of a failed request; types ensure that it does not claim too much.
 //!
-//! A request that has sent no byte is an [`Unsent`]; once it tries to send it becomes a [`Sent`],
-//! and nothing turns it back. Only an [`Unsent`] can end as "not run".
+//! A request of which no byte was sent is an [`Unsent`]. It becomes a [`Sent`] before the first byte is written, and
+//! becomes an [`Unsent`] again only if nothing of it was written. Only an [`Unsent`] can end as "not run".
 
 use crate::ErrorKind;
 use crate::RanState;
 
-/// A failure as the caller is told of it.
+/// A failure as it is reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
     kind: ErrorKind,
@@ -16,27 +16,27 @@
 }
 
 impl Failure {
-    /// Returns the kind from the closed list.
+    /// Returns the error kind.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// Tells whether the request may have run.
+    /// Returns whether the request ran or may have run.
     pub fn ran(&self) -> RanState {
         self.ran
     }
 
-    /// Returns after how many milliseconds the caller is told to come back.
+    /// Returns the delay in milliseconds after which the caller may retry.
     pub fn retry_after_ms(&self) -> Option<u64> {
         self.retry_after_ms
     }
 
-    /// Returns the status with which the same call ended earlier.
+    /// Returns the status of the first run of the same call.
     pub fn first_status(&self) -> Option<u16> {
         self.first_status
     }
 
-    /// Tells the caller when to come back, in milliseconds.
+    /// Sets the delay in milliseconds after which the caller may retry.
     #[must_use]
     pub fn with_retry_after_ms(self, retry_after_ms: u64) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds the status with which the same call ended earlier.
+    /// Adds the status of the first run of the same call.
     #[must_use]
     pub fn with_first_status(self, status: u16) -> Self {
         Self {
@@ -59,16 +59,15 @@
 #[derive(Debug)]
 pub struct Unsent(());
 
-#[allow(clippy::unused_self, reason = "the proof is used up by being consumed")]
+#[allow(clippy::unused_self, reason = "consuming the value uses up the proof")]
 impl Unsent {
     /// Begins a request.
-    #[allow(clippy::new_without_default, reason = "a proof is never made by default")]
+    #[allow(clippy::new_without_default, reason = "a default value would be a proof without a request")]
     pub fn new() -> Self {
         Self(())
     }
 
-    /// Ends the request without having sent it. What the kind says of an earlier call with the same
-    /// key stands.
+    /// Ends the request unsent. The kind decides what is reported about an earlier call with the same key.
     pub fn refuse(self, kind: ErrorKind) -> Failure {
         Failure {
             kind,
@@ -78,24 +77,24 @@
         }
     }
 
-    /// Gives the proof up, before the first byte is written.
+    /// Consumes the proof before the first byte is written.
     pub fn send(self) -> Sent {
         Sent(())
     }
 }
 
-/// A request of which bytes may have reached a backend server.
+/// A request of which some bytes may have reached a backend server.
 #[derive(Debug)]
 pub struct Sent(());
 
-#[allow(clippy::unused_self, reason = "the proof is used up by being consumed")]
+#[allow(clippy::unused_self, reason = "consuming the value uses up the proof")]
 impl Sent {
-    /// The connection handed the whole request back: nothing of it was written.
+    /// Turns the request back into an unsent one: the connection returned it whole, with nothing of it written.
     pub fn into_unsent(self) -> Unsent {
         Unsent(())
     }
 
-    /// Ends the request; it can no longer be said not to have run.
+    /// Ends the request, which is never reported as not run.
     pub fn fail(self, kind: ErrorKind) -> Failure {
         let ran = match kind.ran() {
             RanState::Ran => RanState::Ran,
--- a/crates/reedsail_core/src/store_position.rs
+++ b/crates/reedsail_core/src/store_position.rs
@@ -1,27 +1,27 @@
-//! A place in the log of the platform's store.
+//! A position in the log of the platform's store.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A place in the store's log, by which two pieces of news are ordered.
+/// A position in the store's log, which orders two updates.
 ///
-/// A store that comes back from an older copy of itself gives offsets out again, so that an offset alone does not
-/// say which of two records is the newer one: what was read in a later era is newer whatever its offset.
+/// A store that is restored from an older copy assigns some offsets twice, so an offset alone does not order two
+/// records. A record from a later era is newer regardless of its offset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StorePosition {
-    /// Grows by one each time that the store comes back from a copy; zero for a store, or an older release of a
-    /// peer, that names none. Pages of peers carry it under this name beside the offset.
+    /// The number of times that the store was restored from a copy; zero if the store, or a peer of an older
+    /// release, sends none. Peers' pages contain it under this name, next to the offset.
     #[serde(rename = "store_era", default)]
     pub era: u32,
-    /// The offset after the last record that is known. Peers fetch it under its old name.
+    /// The offset after the last known record. Peers read it under its outer name `revision`.
     #[serde(rename = "revision")]
     pub offset: u64,
 }
 
 impl StorePosition {
-    /// Makes a place from its era and offset.
+    /// Creates a position from its era and offset.
     pub const fn new(era: u32, offset: u64) -> Self {
         Self { era, offset }
     }
