--- a/crates/reedsail_fairness/src/lib.rs
+++ b/crates/reedsail_fairness/src/lib.rs
@@ -1,9 +1,9 @@
-//! How near each workspace came to getting far less than its share, from what it requested and what was begun
-//! for it.
+//! Measures how near each workspace came to getting far less than its share, from what it requested and what servers
+//! began for it.
 //!
-//! Pure: whoever watches a fleet (its log lines, a simulation, the soak's servers) fills a [`ShareLedger`] and
-//! reads the worst [`ShareWindow`] of each workspace. One measure for all of them, so that a figure of a
-//! simulated fleet compares with one of a real one.
+//! Pure: the observer of a fleet (the reader of log lines, a simulation, the soak's servers) fills a [`ShareLedger`]
+//! and reads the worst [`ShareWindow`] of each workspace. All observers use the same measure, so that a figure of a
+//! simulated fleet compares with one of a real fleet.
 
 mod share_ledger;
 mod share_window;
--- a/crates/reedsail_fairness/src/share_window.rs
+++ b/crates/reedsail_fairness/src/share_window.rs
@@ -1,35 +1,35 @@
-//! What one workspace requested and got within a window, beside the best served one.
+//! What one workspace requested and what servers began for it within a window, next to the best served workspace.
 
-/// Seconds of a window: the users judge fairness over as many.
+/// Length of a window, in seconds: the users judge fairness over this time.
 pub const WINDOW_S: usize = 6;
-/// Requests of the workspace's largest size that it may be short of, as the users judge.
+/// Slack that the users allow a workspace, in requests of the workspace's largest size.
 const SLACK_REQUESTS: f64 = 3.0;
 
-/// What a workspace got in a window in every second of which one of its requests was refused or late. Costs
-/// are in tokens.
+/// A window in each second of which a request of the workspace was refused or late. Costs are in tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareWindow {
     /// The workspace.
     pub workspace: String,
-    /// The workspace that got most in the window.
+    /// The best served workspace: the one for which servers began the most cost in the window.
     pub best_workspace: String,
-    /// When the window begins, in milliseconds on the clock of the ledger.
+    /// The start of the window, in milliseconds on the ledger's clock.
     pub from_ms: u64,
-    /// Cost of the requests that arrived.
+    /// Cost of the workspace's requests that arrived.
     pub requested_cost: f64,
-    /// Cost of those that a server began.
+    /// Cost of the workspace's requests that a server began.
     pub begun_cost: f64,
-    /// The same of the best served workspace.
+    /// Cost of the best served workspace's requests that a server began.
     pub best_begun_cost: f64,
-    /// The smaller of what it requested and what the best served one got, second by second, added up.
+    /// The sum over the window's seconds of the smaller of two costs: what the workspace requested, and what servers
+    /// began for the best served workspace.
     pub entitled_cost: f64,
-    /// Cost of its largest request.
+    /// Cost of the workspace's largest request.
     pub largest_request_cost: f64,
 }
 
 impl ShareWindow {
-    /// Returns how near the workspace came to less than half of what it is owed: below one it got less, beyond
-    /// a slack of three requests.
+    /// Returns how near the workspace came to getting less than half of its entitled cost. Below one it got less,
+    /// even with a slack of three requests.
     pub fn ratio(&self) -> f64 {
         (2.0 * self.begun_cost + SLACK_REQUESTS * self.largest_request_cost)
             / self.entitled_cost.max(f64::MIN_POSITIVE)
