--- a/crates/reedsail_gossip/src/aggregator_choice.rs
+++ b/crates/reedsail_gossip/src/aggregator_choice.rs
@@ -1,12 +1,12 @@
-//! Aggregator choice: which instance of the own failure domain this one reports to.
+//! Aggregator choice: the instance of the own failure domain that this instance reports to.
 //!
-//! **Rule.** The instances of a failure domain are ranked by their share of processor, then by name hash.
-//! The first ones, as many as their share of processor allows ([`aggregators_of`]), are its aggregators, and
-//! rendezvous hashing divides the others among them. One that was sent reports and stays silent is passed over for
-//! a while, and so is one that stops.
+//! **Rule.** The instances of a failure domain are ranked by their share of a processor, then by name hash. The best
+//! ranked are its aggregators; their number depends on their share of a processor ([`aggregator_count`]). Rendezvous
+//! hashing distributes the other instances among the aggregators. An aggregator that is sent reports and stays silent
+//! is skipped for [`SKIP_AGGREGATOR_MS`]; a stopping instance is skipped as well.
 //!
-//! **Why.** Every instance comes to the same choice from what it knows, without a message. A wrong choice
-//! is harmless: whoever is sent a report aggregates it.
+//! **Why.** All instances make the same choice from their local state, without a message. A wrong choice is harmless,
+//! since any instance that receives a report aggregates it.
 //!
 //! **Tested by** `tests/load_exchange.rs`.
 
@@ -17,49 +17,50 @@
 use reedsail_dispatch::DutyRank;
 
 use crate::ExchangePace;
-use crate::exchange_timing::PASSED_OVER_MS;
+use crate::exchange_timing::SKIP_AGGREGATOR_MS;
 
-/// What a member costs its aggregator, in microseconds of processor time a second.
+/// Processor time that a member costs its aggregator, in microseconds per second.
 const MEMBER_US_PER_S: u32 = 600;
-/// Part of its share of processor that an aggregator spends on its members at most, as a divisor.
+/// Maximum part of its share of a processor that an aggregator spends on its members, as a divisor.
 const DUTY_DIVISOR: u32 = 10;
-/// Members of one aggregator at least, so that few aggregators tell each other; and at most, so that a large
-/// instance is not missed by a whole failure domain.
+/// Minimum and maximum number of members of one aggregator. The minimum limits the number of aggregators that exchange
+/// sums; the maximum prevents the loss of one large instance from affecting a whole failure domain.
 const MEMBERS_RANGE: (u32, u32) = (16, 80);
 
-/// Returns how many aggregators a failure domain of so many instances has, if the best ranked one may use
-/// so much of a core, in thousandths.
-pub(crate) fn aggregators_of(domain_instances: usize, processor_milli: u32) -> usize {
+/// Returns the number of aggregators of a failure domain, from its number of instances and the share of a core that the
+/// best ranked instance may use, in thousandths.
+pub(crate) fn aggregator_count(domain_instances: usize, processor_milli: u32) -> usize {
     let members = processor_milli * 1_000 / DUTY_DIVISOR / MEMBER_US_PER_S;
     let members = members.clamp(MEMBERS_RANGE.0, MEMBERS_RANGE.1) as usize;
     domain_instances.div_ceil(members).max(1)
 }
 
-/// The aggregator that this instance reports to, and those that it passes over.
+/// The aggregator that this instance reports to, and the aggregators that it skips.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AggregatorChoice {
     chosen: Option<NameHash>,
-    /// From when on the chosen one counts as silent.
-    silent_at: TimeMs,
-    passed_over: HashMap<NameHash, TimeMs>,
+    /// When the chosen aggregator counts as silent.
+    timeout_at: TimeMs,
+    /// Until when each skipped aggregator is skipped.
+    skipped_until: HashMap<NameHash, TimeMs>,
 }
 
 impl AggregatorChoice {
-    /// Records that an aggregator sent a message of this pace.
+    /// Records a message from an aggregator, and the aggregator's pace.
     pub(crate) fn record_message(&mut self, aggregator: NameHash, pace: ExchangePace, now: TimeMs) {
-        self.passed_over.remove(&aggregator);
+        self.skipped_until.remove(&aggregator);
         if self.chosen == Some(aggregator) {
-            self.silent_at = now.plus_ms(pace.silent_ms());
+            self.timeout_at = now.plus_ms(pace.aggregator_timeout_ms());
         }
     }
 
-    /// Returns the aggregator that was chosen last; `None` if this instance aggregates.
+    /// Returns the last chosen aggregator; `None` if this instance aggregates.
     pub(crate) fn chosen(&self) -> Option<NameHash> {
         self.chosen
     }
 
-    /// Chooses among the instances of the failure domain, this one included; `None` if it is to aggregate
-    /// itself. A newly chosen one has as long to answer as the pace of the fleet allows.
+    /// Chooses an aggregator among the instances of the failure domain, including this one; `None` if this instance
+    /// aggregates. The fleet's pace determines how long a newly chosen aggregator may take to answer.
     pub(crate) fn choose(
         &mut self,
         own: DutyRank,
@@ -68,14 +69,14 @@
         pace: ExchangePace,
         now: TimeMs,
     ) -> Option<NameHash> {
-        self.pass_over_silent(now);
+        self.skip_silent(now);
         let mut ranked: Vec<DutyRank> = candidates
-            .filter(|rank| !self.passed_over.contains_key(&rank.instance()))
+            .filter(|rank| !self.skipped_until.contains_key(&rank.instance()))
             .collect();
         ranked.push(own);
         ranked.sort_unstable();
         let best_milli = ranked[0].processor_milli();
-        ranked.truncate(aggregators_of(domain_instances, best_milli));
+        ranked.truncate(aggregator_count(domain_instances, best_milli));
         let key = u64::from(own.instance().0);
         let chosen = if ranked.contains(&own) {
             None
@@ -87,18 +88,18 @@
         };
         if chosen != self.chosen {
             self.chosen = chosen;
-            self.silent_at = now.plus_ms(pace.silent_ms());
+            self.timeout_at = now.plus_ms(pace.aggregator_timeout_ms());
         }
         chosen
     }
 
-    fn pass_over_silent(&mut self, now: TimeMs) {
-        self.passed_over.retain(|_, until| *until > now);
-        if now < self.silent_at {
+    fn skip_silent(&mut self, now: TimeMs) {
+        self.skipped_until.retain(|_, until| *until > now);
+        if now < self.timeout_at {
             return;
         }
         if let Some(silent) = self.chosen.take() {
-            self.passed_over.insert(silent, now.plus_ms(PASSED_OVER_MS));
+            self.skipped_until.insert(silent, now.plus_ms(SKIP_AGGREGATOR_MS));
         }
     }
 }
--- a/crates/reedsail_gossip/src/exchange_timing.rs
+++ b/crates/reedsail_gossip/src/exchange_timing.rs
@@ -1,35 +1,35 @@
-//! How often load is exchanged through aggregators, and how long what came that way counts.
+//! Intervals of the load exchange through aggregators, and how long the exchanged load is valid.
 //!
-//! Direct messages have the times of `GossipTiming`. Used by `load_exchange`.
+//! `GossipTiming` holds the timing of direct messages. Used by `load_exchange`.
 
-/// Instances up to which everyone sends to everyone: their messages come every tenth of a second, as often
-/// as the interval of direct messages allows at all.
+/// Maximum number of instances in a fleet in which each instance sends to all others. At this size direct messages are
+/// still sent every tenth of a second, the shortest interval of direct messages.
 pub const DIRECT_INSTANCES_MAX: usize = 25;
-/// Shortest interval between two reports of a member and between two sums of an aggregator, in milliseconds; see
+/// Shortest interval between two reports of a member, and between two sums of an aggregator, in milliseconds; see
 /// `exchange_pace`.
 pub const AGGREGATE_INTERVAL_MS: u64 = 25;
-/// Interval between two sums that an aggregator sends to other aggregators, in milliseconds: twice the above,
-/// since these cross failure domains, where bytes are charged.
-pub(crate) const BETWEEN_AGGREGATORS_MS: u64 = 50;
+/// Shortest interval between two sums that an aggregator sends to other aggregators, in milliseconds. It is twice
+/// [`AGGREGATE_INTERVAL_MS`], since these sums cross failure domains, where bytes are charged.
+pub(crate) const INTER_AGGREGATOR_INTERVAL_MS: u64 = 50;
 /// Longest interval between two sums of an aggregator, in milliseconds.
 pub const IDLE_INTERVAL_MS: u64 = 1_000;
-/// Longest interval between two messages of an instance to those that it speaks with, in milliseconds.
+/// Longest interval between two messages of an instance to the instances that it exchanges load with, in milliseconds.
 pub const HEARTBEAT_MS: u64 = 200;
-/// Longest interval at which an instance of a fleet with aggregators looks for what is to be sent, in milliseconds.
+/// Longest interval at which an instance of a fleet with aggregators checks for messages to send, in milliseconds.
 pub(crate) const IDLE_TICK_MS: u64 = 200;
-/// Interval at which an instance looks for what is to be sent while everyone sends to everyone, in
-/// milliseconds: half of the interval of direct messages.
+/// Interval at which an instance checks for messages to send in a fleet without aggregators, in milliseconds: half of the
+/// interval of direct messages.
 pub(crate) const DIRECT_TICK_MS: u64 = 50;
-/// Silence after which an aggregator is passed over at the shortest interval, in milliseconds: twelve messages.
-pub(crate) const AGGREGATOR_SILENT_MS: u64 = 300;
-/// How long a silent aggregator is passed over before it is tried again, in milliseconds.
-pub(crate) const PASSED_OVER_MS: u64 = 3_000;
-/// How long a member's last report counts, in milliseconds: longer than a member takes to notice that its
-/// aggregator is silent.
-pub(crate) const MEMBER_VALID_MS: u64 = 500;
-/// How long another aggregator's sum counts, in milliseconds.
-pub(crate) const AGGREGATE_VALID_MS: u64 = 500;
-/// How long the size of the fleet that a sum named counts, in milliseconds.
+/// Shortest silence after which an aggregator is skipped, in milliseconds: twelve messages at the shortest interval.
+pub(crate) const AGGREGATOR_TIMEOUT_MIN_MS: u64 = 300;
+/// How long a silent aggregator is skipped before it is tried again, in milliseconds.
+pub(crate) const SKIP_AGGREGATOR_MS: u64 = 3_000;
+/// Shortest time for which a member's last report is valid, in milliseconds. It is longer than a member takes to notice
+/// that its aggregator is silent.
+pub(crate) const MEMBER_VALID_MIN_MS: u64 = 500;
+/// Shortest time for which another aggregator's sum is valid, in milliseconds.
+pub(crate) const AGGREGATE_VALID_MIN_MS: u64 = 500;
+/// How long the fleet size from a sum or a message is valid, in milliseconds.
 pub(crate) const FLEET_SIZE_VALID_MS: u64 = 3_000;
-/// Interval at which a peer that is silent, or a seed, is sent a message all the same, in milliseconds.
-pub(crate) const SILENT_EVERY_MS: u64 = 1_000;
+/// Interval between two messages to a silent peer or to a seed, in milliseconds.
+pub(crate) const SILENT_PEER_RETRY_MS: u64 = 1_000;
--- a/crates/reedsail_gossip/src/fleet_view.rs
+++ b/crates/reedsail_gossip/src/fleet_view.rs
@@ -1,7 +1,7 @@
-//! What this instance knows of the fleet as a whole: its size, and how old the last sum over it is.
+//! The state of the fleet as a whole: its size, and the age of the last sum over it.
 //!
-//! Owns the last sum's figures; the load itself is the dispatcher's. Relies on aggregators for sums and on
-//! direct messages for the size before one has come.
+//! Owns the figures of the last sum; the dispatcher owns the load itself. Relies on aggregators for sums, and on direct
+//! messages for the fleet size before the first sum.
 
 use reedsail_core::TimeMs;
 use reedsail_wire::LoadMessage;
@@ -14,28 +14,28 @@
 #[derive(Clone, Copy, Debug)]
 struct FleetSum {
     received_at: TimeMs,
-    /// Until when another sum is to have come.
+    /// When the sum expires unless another one arrives.
     valid_until: TimeMs,
     pace: ExchangePace,
     instances: u32,
     domain_instances: u32,
     load_age_ms: u32,
-    /// This instance's place among the members that the sum includes.
-    place: DomainPosition,
+    /// This instance's position among the members that the sum includes.
+    domain_position: DomainPosition,
 }
 
-/// The last sum, and what direct messages say of the size.
+/// The last sum, and the fleet size from direct messages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FleetView {
     sum: Option<FleetSum>,
-    /// The largest size that a peer named lately, and when.
-    size_heard: (u32, TimeMs),
+    /// The largest fleet size that a peer reported recently, and when.
+    reported_size: (u32, TimeMs),
 }
 
 impl FleetView {
-    /// Takes in a sum over the fleet, in which so many members come before this instance.
+    /// Processes a sum over the fleet; `position` is the number of members that precede this instance in it.
     pub(crate) fn receive(&mut self, sum: &LoadMessage, position: usize, now: TimeMs) {
-        let pace = ExchangePace::named(sum.load_interval_ms);
+        let pace = ExchangePace::from_interval_ms(sum.load_interval_ms);
         self.sum = Some(FleetSum {
             received_at: now,
             valid_until: now.plus_ms(pace.sum_valid_ms()),
@@ -43,58 +43,58 @@
             instances: sum.instances,
             domain_instances: sum.domain_instances,
             load_age_ms: sum.load_age_ms,
-            place: DomainPosition {
+            domain_position: DomainPosition {
                 position,
                 instances: sum.included.len().max(1),
             },
         });
     }
 
-    /// Takes in the size that a message names; zero for none.
-    pub(crate) fn hear_size(&mut self, instances: u32, now: TimeMs) {
-        let (known, heard_at) = self.size_heard;
-        if instances >= known || now.since_ms(heard_at) >= FLEET_SIZE_VALID_MS {
-            self.size_heard = (instances, now);
+    /// Records the fleet size from a message; zero if the message has none.
+    pub(crate) fn record_reported_size(&mut self, instances: u32, now: TimeMs) {
+        let (size, reported_at) = self.reported_size;
+        if instances >= size || now.since_ms(reported_at) >= FLEET_SIZE_VALID_MS {
+            self.reported_size = (instances, now);
         }
     }
 
-    /// Returns how many instances peers say that there are; zero if none said so lately.
-    pub(crate) fn instances_heard(&self, now: TimeMs) -> usize {
-        let (heard, heard_at) = self.size_heard;
-        let is_recent = now.since_ms(heard_at) < FLEET_SIZE_VALID_MS;
-        if is_recent { heard as usize } else { 0 }
+    /// Returns the fleet size that peers reported; zero if there is no recent report.
+    pub(crate) fn reported_instances(&self, now: TimeMs) -> usize {
+        let (reported, reported_at) = self.reported_size;
+        let is_recent = now.since_ms(reported_at) < FLEET_SIZE_VALID_MS;
+        if is_recent { reported as usize } else { 0 }
     }
 
-    /// Returns how many instances the last sum is over, if it is recent.
+    /// Returns the number of instances in the last sum, if that is recent.
     pub(crate) fn summed_instances(&self, now: TimeMs) -> Option<usize> {
-        self.recent(now).map(|sum| sum.instances as usize)
+        self.recent_sum(now).map(|sum| sum.instances as usize)
     }
 
-    /// Returns how many instances of the own failure domain the last sum names; zero without a recent one.
+    /// Returns the number of instances of the own failure domain from the last sum; zero without a recent sum.
     pub(crate) fn domain_instances(&self, now: TimeMs) -> usize {
-        self.recent(now).map_or(0, |sum| sum.domain_instances as usize)
+        self.recent_sum(now).map_or(0, |sum| sum.domain_instances as usize)
     }
 
     /// Returns the mean age of the summed load, in milliseconds.
     pub(crate) fn load_age_ms(&self, now: TimeMs) -> Option<u64> {
-        let sum = self.recent(now)?;
+        let sum = self.recent_sum(now)?;
         Some(u64::from(sum.load_age_ms) + now.since_ms(sum.received_at))
     }
 
-    /// Returns this instance's place among the members of its aggregator, while sums come.
-    pub(crate) fn place(&self, now: TimeMs) -> Option<DomainPosition> {
+    /// Returns this instance's position among the members of its aggregator, if the last sum is valid.
+    pub(crate) fn domain_position(&self, now: TimeMs) -> Option<DomainPosition> {
         let sum = self.sum?;
-        (now < sum.valid_until).then_some(sum.place)
+        (now < sum.valid_until).then_some(sum.domain_position)
     }
 
-    /// Returns the pace of the aggregator that sent the last sum; the slowest if none is recent, since a sender may
-    /// keep to it.
+    /// Returns the pace of the aggregator that sent the last sum. Without a recent sum it is the slowest, since the
+    /// aggregator may use that.
     pub(crate) fn pace(&self, now: TimeMs) -> ExchangePace {
-        self.recent(now)
-            .map_or(ExchangePace::of_pressure(0), |sum| sum.pace)
+        self.recent_sum(now)
+            .map_or(ExchangePace::from_pressure(0), |sum| sum.pace)
     }
 
-    fn recent(&self, now: TimeMs) -> Option<FleetSum> {
+    fn recent_sum(&self, now: TimeMs) -> Option<FleetSum> {
         let sum = self.sum?;
         (now.since_ms(sum.received_at) < FLEET_SIZE_VALID_MS).then_some(sum)
     }
--- a/crates/reedsail_gossip/src/known_aggregators.rs
+++ b/crates/reedsail_gossip/src/known_aggregators.rs
@@ -1,39 +1,41 @@
-//! Which other aggregators an aggregator sends its sum to.
+//! Choice of the other aggregators that an aggregator sends its sum to.
 //!
-//! **Rule.** To those whose sums come, and to those that rank as aggregators of their failure domain. Of a
-//! failure domain from which no sum comes, the next ranks are tried as well, and one rank more each time.
+//! **Rule.** An aggregator sends its sum to the aggregators whose sums arrive, and to the instances that rank as
+//! aggregators of their failure domain. If no sum arrives from a failure domain, it also tries the next ranks there, and
+//! one further rank in each search round.
 //!
-//! **Why.** After the loss of many instances the first ranks that an aggregator knows may all be gone, and
-//! those that took over are on the same search.
+//! **Why.** After the loss of many instances, all of the best ranks that an aggregator knows may be gone. The
+//! instances that took over search in the same way.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
 use reedsail_core::NameHash;
 
-/// Ranks of a failure domain that a sum is sent to while none comes from there: with half of the instances
-/// gone, one in eight failure domains has none of them left.
-const RANKS_TRIED: usize = 3;
+/// Number of ranks of a failure domain that a sum is sent to while no sum arrives from there. With half of the instances
+/// gone, none of these ranks is left in one of eight failure domains.
+const SEARCHED_RANKS: usize = 3;
 
-/// What an aggregator knows of others.
+/// The other aggregators, and the instances that may aggregate, as an aggregator knows them.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownAggregators {
-    /// Those whose sums come: failure domain and address.
-    pub(crate) heard: Vec<(NameHash, SocketAddrV4)>,
-    /// The instances that may aggregate, by failure domain, best rank first; of the own one those alone that
-    /// rank before this instance.
+    /// The failure domains and addresses of the aggregators whose sums arrive.
+    pub(crate) active: Vec<(NameHash, SocketAddrV4)>,
+    /// The instances that may aggregate, by failure domain, best rank first. Of the own failure domain, only instances
+    /// that rank before this one are included.
     pub(crate) ranked: HashMap<NameHash, Vec<SocketAddrV4>>,
+    /// The failure domain of this instance.
     pub(crate) own_domain: NameHash,
-    /// How many aggregators a failure domain of this one's size has.
-    pub(crate) of_each_domain: usize,
+    /// The number of aggregators of a failure domain that has the size of the own one.
+    pub(crate) aggregators_per_domain: usize,
 }
 
 impl KnownAggregators {
-    /// Returns the addresses that the next message goes to; `search` is another number each time.
-    pub(crate) fn targets(&self, search: usize) -> Vec<SocketAddrV4> {
-        let mut targets: Vec<SocketAddrV4> = self.heard.iter().map(|(_, address)| *address).collect();
+    /// Returns the target addresses of the next message; `search_round` differs in each call.
+    pub(crate) fn targets(&self, search_round: usize) -> Vec<SocketAddrV4> {
+        let mut targets: Vec<SocketAddrV4> = self.active.iter().map(|(_, address)| *address).collect();
         for (domain, ranked) in &self.ranked {
-            for address in self.tried_in(*domain, ranked, search) {
+            for address in self.targets_in(*domain, ranked, search_round) {
                 if !targets.contains(&address) {
                     targets.push(address);
                 }
@@ -42,13 +44,13 @@
         targets
     }
 
-    fn tried_in(&self, domain: NameHash, ranked: &[SocketAddrV4], search: usize) -> Vec<SocketAddrV4> {
-        let is_found = domain == self.own_domain || self.heard.iter().any(|(heard, _)| *heard == domain);
-        if is_found {
-            return ranked.iter().take(self.of_each_domain).copied().collect();
+    fn targets_in(&self, domain: NameHash, ranked: &[SocketAddrV4], search_round: usize) -> Vec<SocketAddrV4> {
+        let is_connected = domain == self.own_domain || self.active.iter().any(|(active_domain, _)| *active_domain == domain);
+        if is_connected {
+            return ranked.iter().take(self.aggregators_per_domain).copied().collect();
         }
-        let first = ranked.iter().take(self.of_each_domain.max(RANKS_TRIED));
-        let next = ranked.iter().cycle().skip(search % ranked.len()).take(1);
-        first.chain(next).copied().collect()
+        let best_ranked = ranked.iter().take(self.aggregators_per_domain.max(SEARCHED_RANKS));
+        let next = ranked.iter().cycle().skip(search_round % ranked.len()).take(1);
+        best_ranked.chain(next).copied().collect()
     }
 }
--- a/crates/reedsail_gossip/src/lib.rs
+++ b/crates/reedsail_gossip/src/lib.rs
@@ -1,23 +1,23 @@
-//! Which instance tells which other one of its load: membership, and the way of load reports.
+//! Gossip of load between instances: membership, and the routing of load reports.
 //!
-//! Pure: no I/O, no clock. [`LoadExchange`] is told of every message that came and asked at every tick
-//! what to send; the router's control thread does the sending.
+//! Pure: no I/O, no clock. [`LoadExchange`] receives every incoming message and returns the messages to send at every
+//! tick; the router's control thread sends them.
 //!
-//! A small fleet sends every report to everyone. Beyond [`DIRECT_INSTANCES_MAX`] instances each one
-//! reports to an aggregator of its failure domain only; aggregators send each other the sums over their
-//! members, and their members the sum over the fleet. So an instance sends and receives one message an
-//! interval at any size, and load crosses between failure domains once for all members. How long the interval is
-//! follows how busy the servers are ([`ExchangePace`]).
+//! In a small fleet each instance sends its report to all others. In a fleet of more than [`DIRECT_INSTANCES_MAX`]
+//! instances, each member reports only to an aggregator of its failure domain. Aggregators send each other the sums
+//! over their members, and send their members the sum over the fleet. An instance thus sends and receives one message
+//! per interval at any fleet size, and load crosses between failure domains once for all members. The interval
+//! follows the utilisation of the servers ([`ExchangePace`]).
 //!
-//! Nothing is agreed: whoever receives members' reports aggregates them. Two aggregators of one failure
-//! domain cost an estimate for a moment, never an answer.
+//! There is no consensus: every instance that receives members' reports aggregates them. Two aggregators in one
+//! failure domain make a load estimate wrong for a short time, but never an answer.
 
 mod aggregator_choice;
 mod exchange_messages;
 mod exchange_pace;
 mod exchange_timing;
 mod fleet_view;
-mod head_mark;
+mod urgent_fields;
 mod known_aggregators;
 mod load_exchange;
 mod load_sum;
--- a/crates/reedsail_gossip/src/load_exchange/mod.rs
+++ b/crates/reedsail_gossip/src/load_exchange/mod.rs
@@ -1,8 +1,8 @@
-//! The exchange of load: what each message that came means (`receive`), and which messages to send (`send`).
+//! The load exchange: processing of received messages (`receive`), and choice of the messages to send (`send`).
 //!
-//! Owns membership, the role of this instance (member or aggregator), and which sources of load count, so
-//! that no instance's load counts twice for longer than a message takes. Relies on the caller for the time,
-//! for sending, and for this instance's own load.
+//! Owns membership, the role of this instance (member or aggregator), and the set of load sources that count, so that no
+//! instance's load counts twice for longer than a message takes. Relies on the caller for the time, for sending, and
+//! for this instance's own load.
 
 mod receive;
 mod send;
@@ -28,31 +28,31 @@
 use crate::exchange_timing::DIRECT_INSTANCES_MAX;
 use crate::exchange_timing::DIRECT_TICK_MS;
 use crate::fleet_view::FleetView;
-use crate::head_mark::HeadMark;
+use crate::urgent_fields::UrgentFields;
 use crate::member_reports::MemberReports;
 
-/// The protocol of this release.
+/// The protocol number of this release.
 const PROTOCOL: u8 = 2;
-/// The first protocol that knows heartbeats and sums at another interval than the shortest. The one before knows
-/// aggregators.
+/// The first protocol that supports heartbeats, and sums at other intervals than the shortest. The previous protocol
+/// supports aggregators.
 const PACED_PROTOCOL: u8 = 2;
 
-/// Whose load a source that counts stands for.
+/// A load source that counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Source {
     scope: LoadScope,
-    /// Zero for an instance that knows no aggregators, whose load no sum includes.
+    /// The source's protocol number; zero for an instance that does not support aggregators, whose load no sum includes.
     protocol: u8,
 }
 
-/// A peer that is to be told who is there.
+/// A peer to introduce to the members of the fleet.
 #[derive(Clone, Copy, Debug)]
 struct NewPeer {
     address: SocketAddrV4,
     failure_domain: NameHash,
 }
 
-/// The exchange of one instance.
+/// The load exchange of one instance.
 #[derive(Debug)]
 pub struct LoadExchange {
     identity: InstanceIdentity,
@@ -61,30 +61,30 @@
     choice: AggregatorChoice,
     reports: MemberReports,
     sent: SentReports,
-    /// Rows of members, for other aggregators.
+    /// Prefix rows from members, for other aggregators.
     relay_to_aggregators: PrefixRelay,
-    /// Rows of members and of other aggregators.
+    /// Prefix rows from members and from other aggregators, for members.
     relay_to_members: PrefixRelay,
     sources: HashMap<NameHash, Source>,
     fleet: FleetView,
     new_peers: Vec<NewPeer>,
-    /// The pace of this instance's messages as an aggregator, by what it last knew.
+    /// The pace of this instance's messages as an aggregator, from the last known pressure.
     own_pace: ExchangePace,
-    /// What was last sent to peers of the part of the head whose changes are urgent.
-    announced: HeadMark,
-    /// How often other aggregators were looked for.
-    searches: usize,
+    /// The urgent header fields that were last sent to peers.
+    sent_urgent_fields: UrgentFields,
+    /// The number of searches for other aggregators.
+    search_rounds: usize,
     next_message_at: TimeMs,
     next_direct_at: TimeMs,
     next_sum_at: TimeMs,
     next_aggregate_at: TimeMs,
-    /// When other aggregators are sent a heartbeat, unless they are sent something else before.
+    /// When the next heartbeat to other aggregators is due; a sum to them postpones it.
     next_heartbeat_at: TimeMs,
     is_aggregator_changed: bool,
 }
 
 impl LoadExchange {
-    /// Makes the exchange of an instance that knows nobody.
+    /// Creates the exchange of an instance that knows no peers.
     pub fn new(identity: InstanceIdentity, seeds: Vec<SocketAddrV4>) -> Self {
         let mut peers = PeerTable::new(identity.instance);
         peers.set_seeds(seeds);
@@ -101,8 +101,8 @@
             fleet: FleetView::default(),
             new_peers: Vec::new(),
             own_pace: ExchangePace::default(),
-            announced: HeadMark::default(),
-            searches: 0,
+            sent_urgent_fields: UrgentFields::default(),
+            search_rounds: 0,
             next_message_at: TimeMs(0),
             next_direct_at: TimeMs(0),
             next_sum_at: TimeMs(0),
@@ -122,8 +122,8 @@
         self.peers.set_seeds(seeds);
     }
 
-    /// Returns the sources that count no more: silent peers, and members and aggregators whose last sum has
-    /// expired.
+    /// Drops and returns the sources that no longer count: silent peers, and members and aggregators whose last report
+    /// or sum has expired.
     pub fn drop_silent(&mut self, now: TimeMs) -> Vec<LostSource> {
         let mut lost = Vec::new();
         for instance in self.reports.drop_expired(now) {
@@ -138,34 +138,34 @@
                 lost.push(LostSource { instance, silent_address });
             }
         }
-        self.count_direct_peers(now);
+        self.update_direct_timing(now);
         lost
     }
 
-    /// Works the times of direct messages out anew.
-    fn count_direct_peers(&mut self, now: TimeMs) {
+    /// Updates the timing of direct messages from the number of peers that are sent them.
+    fn update_direct_timing(&mut self, now: TimeMs) {
         let is_aggregated = self.is_aggregated(now);
         let alive = self.peers.alive();
         let direct = alive.filter(|peer| !is_aggregated || peer.protocol == 0).count();
         self.peers.set_direct_peers(direct);
     }
 
-    /// Returns how many instances the fleet has, this one included, as far as is known.
+    /// Returns the known number of instances in the fleet, including this one.
     pub fn instances(&self, now: TimeMs) -> usize {
         self.fleet.summed_instances(now).unwrap_or_else(|| {
             let known = self.peers.known_count(now) + 1;
-            known.max(self.fleet.instances_heard(now))
+            known.max(self.fleet.reported_instances(now))
         })
     }
 
-    /// Returns the mean age of the load that counts, in milliseconds; `None` while it comes directly.
+    /// Returns the mean age of the load that counts, in milliseconds; `None` while load is exchanged directly.
     pub fn load_age_ms(&self, now: TimeMs) -> Option<u64> {
         let age_ms = self.fleet.load_age_ms(now)?;
         self.is_aggregated(now).then_some(age_ms)
     }
 
-    /// Returns all instances that are known, this one included, each with its failure domain. Silent ones count
-    /// until they are forgotten.
+    /// Returns all known instances, including this one, each with its failure domain. Silent instances are included until
+    /// the peer table removes them.
     pub fn members(&self) -> Vec<(NameHash, NameHash)> {
         let own = (self.identity.instance, self.identity.failure_domain);
         let mut members: Vec<(NameHash, NameHash)> = self.peers.members().chain([own]).collect();
@@ -173,9 +173,9 @@
         members
     }
 
-    /// Returns this instance's place among those of its failure domain.
+    /// Returns this instance's position among the instances of its failure domain.
     pub fn domain_position(&self, now: TimeMs) -> DomainPosition {
-        self.fleet.place(now).unwrap_or_else(|| {
+        self.fleet.domain_position(now).unwrap_or_else(|| {
             let own = self.identity.instance;
             let alive: Vec<NameHash> = self.peers.alive_in(self.identity.failure_domain).collect();
             DomainPosition {
@@ -185,7 +185,7 @@
         })
     }
 
-    /// Returns after what time to look again for what is to be sent, in milliseconds.
+    /// Returns the time until the next check for messages to send, in milliseconds.
     pub fn tick_ms(&self, now: TimeMs) -> u64 {
         if self.is_aggregated(now) {
             self.pace(now).tick_ms()
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Returns the times by which silence and age are judged.
+    /// Returns the timing by which silence and age are judged.
     pub fn timing(&self, now: TimeMs) -> GossipTiming {
         let direct = self.peers.timing();
         if !self.is_aggregated(now) {
@@ -206,9 +206,9 @@
         }
     }
 
-    /// Returns the pace of this instance: that of its aggregator, if it has one.
+    /// Returns the pace of this instance, which is its aggregator's pace if it has one.
     fn pace(&self, now: TimeMs) -> ExchangePace {
-        if self.aggregates(now) {
+        if self.is_aggregator(now) {
             self.own_pace
         } else {
             self.fleet.pace(now)
@@ -219,7 +219,7 @@
         DutyRank::of(self.identity.instance, self.identity.processor_milli)
     }
 
-    /// Returns the address of the aggregator to report to; `None` if this instance is to aggregate.
+    /// Returns the address of the aggregator to report to; `None` if this instance aggregates.
     fn choose_aggregator(&mut self, now: TimeMs) -> Option<SocketAddrV4> {
         let domain_instances = self.fleet.domain_instances(now);
         let own_rank = self.own_rank();
@@ -233,7 +233,7 @@
         Some(peer.address)
     }
 
-    /// Returns whom this instance reports to, if that has changed since the last call.
+    /// Returns the target of this instance's reports, if it has changed since the last call.
     pub fn take_aggregator_change(&mut self) -> Option<ReportTarget> {
         if !std::mem::take(&mut self.is_aggregator_changed) {
             return None;
@@ -242,13 +242,14 @@
         Some(aggregator.map_or(ReportTarget::Itself, |peer| ReportTarget::Aggregator(peer.address)))
     }
 
-    /// Tells whether this instance sends sums: it has members, or nobody to report to.
-    fn aggregates(&self, now: TimeMs) -> bool {
+    /// Returns whether this instance sends sums: it has members, or no aggregator to report to.
+    fn is_aggregator(&self, now: TimeMs) -> bool {
         self.is_aggregated(now) && (self.reports.has_members() || self.choice.chosen().is_none())
     }
 
-    /// Tells whether the fleet is too large for everyone to send to everyone. Asked for each message, so the
-    /// peers are counted only where no sum says it.
+    /// Returns whether the fleet is too large for each instance to send to all others.
+    ///
+    /// This runs for every message, so the peers are counted only if no sum decides.
     pub fn is_aggregated(&self, now: TimeMs) -> bool {
         let is_large = |instances: usize| instances > DIRECT_INSTANCES_MAX;
         self.fleet.summed_instances(now).is_some_and(is_large)
@@ -256,9 +257,9 @@
             || is_large(self.peers.known_count(now) + 1)
     }
 
-    /// Returns how many instances this one knows of by itself: what direct messages say of the size may come
-    /// from this instance and is not said again.
-    fn instances_seen(&self, now: TimeMs) -> usize {
+    /// Returns the number of instances from sums and from the peer table. The fleet size from direct messages may
+    /// originate from this instance, so it is not repeated.
+    fn known_instances(&self, now: TimeMs) -> usize {
         let summed = self.fleet.summed_instances(now).unwrap_or(0);
         summed.max(self.peers.known_count(now) + 1)
     }
--- a/crates/reedsail_gossip/src/load_sum.rs
+++ b/crates/reedsail_gossip/src/load_sum.rs
@@ -1,4 +1,4 @@
-//! Sums of load reports, and a sum without the part that the receiver itself put into it.
+//! Sums of load reports, and the subtraction of the receiver's own report from a sum.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -10,11 +10,11 @@
 use reedsail_dispatch::SuspectRow;
 use reedsail_dispatch::WorkspaceUseRow;
 
-/// Rows of suspected requests in a sum at most, which keeps it within one datagram: 8 kB.
+/// Maximum number of rows of suspected requests in a sum: they take 8 kB, so that the sum fits one datagram.
 const SUSPECTS_MAX: usize = 256;
 
-/// A sum of load reports, by backend server and by workspace. Prefix rows are no amounts and are relayed
-/// by `PrefixRelay`.
+/// A sum of load reports, by backend server and by workspace. It contains no prefix rows, which are not amounts;
+/// `PrefixRelay` relays those.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSum {
     servers: HashMap<NameHash, ServerLoadRow>,
@@ -23,7 +23,7 @@
 }
 
 impl LoadSum {
-    /// Adds a report. Of failure rates the highest counts.
+    /// Adds a report. The sum has the highest failure rate of the reports.
     pub fn add(&mut self, report: &LoadReport) {
         for row in &report.servers {
             let sum = self.servers.entry(row.server).or_insert(ServerLoadRow {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Adds a row of a suspected request. Ends form a set; of an answer and ends the newer one counts.
+    /// Adds a row of a suspected request. Rows with server ends merge into a set of servers. If one row has ends and the
+    /// other an answer, the newer row counts.
     fn add_suspect(&mut self, row: &SuspectRow) {
         let Some(known) = self.suspects.get_mut(&row.fingerprint) else {
             self.suspects.insert(row.fingerprint, row.clone());
@@ -60,12 +61,12 @@
         };
         let seen_ms_ago = known.seen_ms_ago.min(row.seen_ms_ago);
         if known.servers.is_empty() == row.servers.is_empty() {
-            let unknown = row
+            let new_servers = row
                 .servers
                 .iter()
                 .filter(|server| !known.servers.contains(server));
-            let unknown: Vec<NameHash> = unknown.copied().collect();
-            known.servers.extend(unknown);
+            let new_servers: Vec<NameHash> = new_servers.copied().collect();
+            known.servers.extend(new_servers);
             known.changed_ms_ago = known.changed_ms_ago.min(row.changed_ms_ago);
         } else if row.changed_ms_ago < known.changed_ms_ago {
             *known = row.clone();
@@ -73,17 +74,17 @@
         known.seen_ms_ago = seen_ms_ago;
     }
 
-    /// Returns the sum as a report, rows in the order of their names. Beyond `rows_max` of them the least loaded
-    /// servers, and the workspaces that requested least, are left out.
+    /// Returns the sum as a report, with rows in the order of their names. Of more than `rows_max` servers the least
+    /// loaded are left out, and of more than `rows_max` workspaces those with the least requested cost.
     pub fn report(&self, rows_max: usize) -> LoadReport {
         let mut servers: Vec<ServerLoadRow> = self.servers.values().copied().collect();
         keep_greatest(&mut servers, rows_max, |row| {
-            let news = row.is_down || row.is_draining || row.is_backed_off;
-            (news, row.failure_rate, row.prefill_tokens, row.running)
+            let has_status = row.is_down || row.is_draining || row.is_backed_off;
+            (has_status, row.failure_rate, row.prefill_tokens, row.running)
         });
         servers.sort_by_key(|row| row.server);
         let mut workspaces: Vec<WorkspaceUseRow> = self.workspaces.values().copied().collect();
-        // Costs are not negative, so that their bits have the order of their values.
+        // Costs are not negative, so their bits sort in the order of their values.
         keep_greatest(&mut workspaces, rows_max, |row| row.requested_cost.to_bits());
         workspaces.sort_by_key(|row| row.workspace);
         let mut suspects: Vec<SuspectRow> = self.suspects.values().cloned().collect();
@@ -97,7 +98,7 @@
     }
 }
 
-/// Drops all but so many rows, those with the greatest keys.
+/// Keeps the `rows_max` rows with the greatest keys.
 fn keep_greatest<Row, Key: Ord>(rows: &mut Vec<Row>, rows_max: usize, key: impl Fn(&Row) -> Key) {
     if rows.len() > rows_max {
         rows.select_nth_unstable_by_key(rows_max, |row| Reverse(key(row)));
@@ -105,8 +106,8 @@
     }
 }
 
-/// Takes a report off a sum that includes it. An amount below zero, from a sum that was made of another
-/// report than is thought, becomes zero.
+/// Subtracts a report from a sum that includes it. An amount below zero becomes zero; it occurs when the sum includes
+/// another report than the one that is subtracted.
 pub(crate) fn subtract(sum: &mut LoadReport, report: &LoadReport) {
     let servers: HashMap<NameHash, ServerLoadRow> =
         report.servers.iter().map(|row| (row.server, *row)).collect();
--- a/crates/reedsail_gossip/src/member_reports.rs
+++ b/crates/reedsail_gossip/src/member_reports.rs
@@ -1,7 +1,7 @@
-//! What an aggregator was sent: the reports of its members and the sums of other aggregators.
+//! The load that an aggregator received: the reports of its members and the sums of other aggregators.
 //!
-//! Owns both, each until it expires, and adds them up anew for every message, so that nothing counts for
-//! good after its sender is gone.
+//! Owns each report and sum until it expires, and computes a new total for every message, so that no load remains
+//! counted after its sender is gone.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -39,12 +39,12 @@
     valid_until: TimeMs,
 }
 
-/// A sum over some instances.
+/// A sum over some instances, with their number and the ages of their reports.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SummedLoad {
     pub(crate) sum: LoadSum,
     pub(crate) instances: u32,
-    /// Ages of all summed reports, added up, in milliseconds.
+    /// Total age of the summed reports, in milliseconds.
     age_sum_ms: u64,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// The reports and sums that count.
+/// The valid reports of members and sums of other aggregators.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberReports {
     members: HashMap<NameHash, MemberReport>,
@@ -70,9 +70,9 @@
 }
 
 impl MemberReports {
-    /// Takes in a member's report.
+    /// Stores a member's report.
     pub(crate) fn receive_member(&mut self, message: &LoadMessage, from: SocketAddrV4, now: TimeMs) {
-        let pace = ExchangePace::named(message.load_interval_ms);
+        let pace = ExchangePace::from_interval_ms(message.load_interval_ms);
         let report = MemberReport {
             address: from,
             load: message.load.without_prefixes(),
@@ -84,15 +84,15 @@
         self.aggregates.remove(&message.instance);
     }
 
-    /// Takes in another aggregator's sum. Members whose newer report it includes count there from now on.
+    /// Stores another aggregator's sum. A member whose newer report the sum includes becomes a member of that aggregator.
     pub(crate) fn receive_aggregate(&mut self, message: &LoadMessage, from: SocketAddrV4, now: TimeMs) {
         for row in &message.included {
-            let known = self.members.get(&row.instance);
-            if known.is_some_and(|report| report.sequence < row.sequence) {
+            let current = self.members.get(&row.instance);
+            if current.is_some_and(|report| report.sequence < row.sequence) {
                 self.members.remove(&row.instance);
             }
         }
-        let pace = ExchangePace::named(message.load_interval_ms);
+        let pace = ExchangePace::from_interval_ms(message.load_interval_ms);
         let aggregate = Aggregate {
             address: from,
             load: message.load.without_prefixes(),
@@ -106,7 +106,7 @@
         self.aggregates.insert(message.instance, aggregate);
     }
 
-    /// Drops what has expired; returns whose it was.
+    /// Drops expired reports and sums; returns their senders.
     pub(crate) fn drop_expired(&mut self, now: TimeMs) -> Vec<NameHash> {
         let mut expired = Vec::new();
         self.members.retain(|member, report| {
@@ -146,7 +146,7 @@
         self.aggregates.keys().copied().collect()
     }
 
-    /// Returns the members with the sequences of their reports, in the order of their names.
+    /// Returns the members with the sequence numbers of their reports, in the order of their names.
     pub(crate) fn included(&self) -> Vec<IncludedRow> {
         let mut rows: Vec<IncludedRow> = self
             .members
@@ -178,16 +178,17 @@
         }
     }
 
-    /// Returns how many instances of this one's failure domain are summed up here or at other aggregators.
-    /// Each counts once, also while it moves from one aggregator to another: the number decides how many
-    /// aggregators there are, and a count that grows by moves would bring about more of them.
+    /// Returns the number of instances of this instance's failure domain that are summed here or at other aggregators.
+    ///
+    /// Each instance counts once, even while it moves from one aggregator to another. The number of aggregators follows
+    /// from this count, so a count that grew with each move would create more aggregators.
     pub(crate) fn instances_in(&self, failure_domain: NameHash) -> u32 {
-        let elsewhere = self
+        let other_members = self
             .aggregates
             .values()
             .filter(|aggregate| aggregate.failure_domain == failure_domain)
             .flat_map(|aggregate| aggregate.included.iter().copied());
-        let instances: HashSet<NameHash> = self.members.keys().copied().chain(elsewhere).collect();
+        let instances: HashSet<NameHash> = self.members.keys().copied().chain(other_members).collect();
         instances.len() as u32 + 1
     }
 }
--- a/crates/reedsail_gossip/src/peer.rs
+++ b/crates/reedsail_gossip/src/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one peer.
+//! The state of one peer.
 
 use std::net::SocketAddrV4;
 
@@ -6,42 +6,42 @@
 use reedsail_core::StorePosition;
 use reedsail_core::TimeMs;
 
-/// A peer, as it or another instance described it.
+/// A peer, as its own messages or those of other instances describe it.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
-    /// Where it receives load messages.
+    /// The address at which the peer receives load messages.
     pub address: SocketAddrV4,
-    /// When its last message came, or when another instance last named it.
-    pub heard_at: TimeMs,
-    /// Its own messages come.
+    /// When the last message from the peer arrived, or when another instance last named it.
+    pub last_seen_at: TimeMs,
+    /// Whether the peer's own messages arrive.
     pub is_alive: bool,
-    /// Of its last start; zero if only others named it.
+    /// The incarnation of the peer's last start; zero if only other instances have named it.
     pub incarnation: u32,
-    /// Of its last message.
+    /// The sequence number of the peer's last message.
     pub sequence: u32,
-    /// Its failure domain; zero if unknown.
+    /// The peer's failure domain; zero if unknown.
     pub failure_domain: NameHash,
-    /// The share of a core that it may use, in thousandths; zero if unknown.
+    /// The share of a core that the peer may use, in thousandths; zero if unknown.
     pub processor_milli: u32,
-    /// Zero for an instance that knows no aggregators.
+    /// The peer's protocol number; zero if it does not support aggregators.
     pub protocol: u8,
-    /// The configuration that it has in force.
+    /// The version of the peer's configuration in force.
     pub configuration_version: u64,
-    /// The revision of its list of backend servers.
+    /// The revision of the peer's list of backend servers.
     pub servers_revision: StorePosition,
-    /// It is stopping.
+    /// Whether the peer is stopping.
     pub is_stopping: bool,
-    /// When it was last sent a direct message.
+    /// When the last direct message was sent to the peer.
     pub(crate) sent_at: Option<TimeMs>,
 }
 
-/// What a message means for what is known of its sender.
+/// How a message relates to the known state of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// The message is older than one that came before, or the receiver's own.
+    /// The message is older than the last one from the sender, or comes from the receiver itself.
     Stale,
-    /// The peer was silent or unknown before.
+    /// The sender was silent, restarted or unknown.
     FromNew,
-    /// The peer was alive before.
+    /// The sender was already alive.
     FromAlive,
 }
--- a/crates/reedsail_gossip/src/peer_table.rs
+++ b/crates/reedsail_gossip/src/peer_table.rs
@@ -1,7 +1,7 @@
-//! The peers that this instance knows, and when it last heard of each.
+//! The peers that this instance knows, and when each was last seen.
 //!
-//! Owns addresses and freshness of peers; their load is the dispatcher's. Peers become known by their
-//! own messages, by those of others, or as seeds of the settings.
+//! Owns the addresses and liveness of peers; the dispatcher owns their load. A peer becomes known by its own messages,
+//! by the messages of other instances, or as a seed in the settings.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -17,33 +17,34 @@
 
 use crate::Arrival;
 use crate::Peer;
-use crate::exchange_timing::SILENT_EVERY_MS;
+use crate::exchange_timing::SILENT_PEER_RETRY_MS;
 
-/// Silence after which a peer is forgotten, in milliseconds.
+/// Silence after which a peer is removed, in milliseconds.
 const FORGET_MS: u64 = 30_000;
-/// How long a peer that only others name counts as one of the fleet, in milliseconds: an aggregator names
-/// each of its members about every half second.
-const NAMED_VALID_MS: u64 = 6_000;
-/// Peers that one message names.
-const ROWS_PER_MESSAGE: usize = 8;
-/// Instances of a new peer's own failure domain that it is told of, best rank first.
-const ROWS_OF_DOMAIN: usize = 4;
-
-/// The peers that are known.
+/// How long a mention by other instances counts a peer as part of the fleet, in milliseconds. An aggregator names each
+/// of its members about every half second.
+const MENTIONED_VALID_MS: u64 = 6_000;
+/// Maximum number of peers that one message names.
+const ROWS_PER_MESSAGE_MAX: usize = 8;
+/// Maximum number of instances of its own failure domain that are named to a new peer, best rank first.
+const OWN_DOMAIN_ROWS_MAX: usize = 4;
+
+/// The known peers.
 #[derive(Debug, Default)]
 pub struct PeerTable {
-    /// This instance, which others name as well.
+    /// This instance, which other instances name as well.
     own: NameHash,
     peers: HashMap<NameHash, Peer>,
     seeds: Vec<SocketAddrV4>,
-    /// `None` lets the next message go to the seeds.
+    /// When the seeds were last sent a message; `None` makes them due at once.
     seeds_sent_at: Option<TimeMs>,
+    /// Where the rows of the last message began among the peers that are alive.
     first_row: usize,
     timing: GossipTiming,
 }
 
 impl PeerTable {
-    /// Makes the table of an instance that knows nobody.
+    /// Creates an empty table.
     pub fn new(own: NameHash) -> Self {
         Self {
             own,
@@ -51,29 +52,29 @@
         }
     }
 
-    /// Replaces the seeds, and lets the next message go to them.
+    /// Replaces the seeds, and sends the next message to them.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
         self.seeds_sent_at = None;
     }
 
-    /// Tells whether there is a seed to learn from.
+    /// Returns whether there are seeds.
     pub fn has_seeds(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// Takes in a message; one that overtook a newer one is stale.
+    /// Processes a message. A message that arrives after a newer one of its sender is stale.
     pub fn receive(&mut self, message: &LoadMessage, from: SocketAddrV4, now: TimeMs) -> Arrival {
         for row in &message.members {
-            self.learn(*row, now);
+            self.add_mention(*row, now);
         }
         let peer_silent_ms = self.timing.peer_silent_ms;
         let known = self.peers.get(&message.instance);
-        // One that was started anew knows nothing, however soon it is heard again.
+        // A restarted peer has lost its state, even if it restarts before its silence is noticed.
         let is_alive = known.is_some_and(|peer| {
             peer.is_alive
                 && peer.incarnation == message.incarnation
-                && now.since_ms(peer.heard_at) < peer_silent_ms
+                && now.since_ms(peer.last_seen_at) < peer_silent_ms
         });
         let is_stale = known.is_some_and(|peer| {
             peer.is_alive && peer.incarnation == message.incarnation && peer.sequence >= message.sequence
@@ -84,7 +85,7 @@
         let sent_at = known.and_then(|peer| peer.sent_at);
         let peer = Peer {
             address: from,
-            heard_at: now,
+            last_seen_at: now,
             is_alive: true,
             incarnation: message.incarnation,
             sequence: message.sequence,
@@ -104,13 +105,13 @@
         }
     }
 
-    fn learn(&mut self, row: MemberRow, now: TimeMs) {
+    fn add_mention(&mut self, row: MemberRow, now: TimeMs) {
         if row.instance == self.own {
             return;
         }
         let peer = self.peers.entry(row.instance).or_insert(Peer {
             address: row.address,
-            heard_at: now,
+            last_seen_at: now,
             is_alive: false,
             incarnation: 0,
             sequence: 0,
@@ -124,18 +125,18 @@
         });
         if !peer.is_alive {
             peer.address = row.address;
-            peer.heard_at = now;
+            peer.last_seen_at = now;
         }
     }
 
-    /// Returns the peers that went silent since the last call, and forgets those that were silent for long.
+    /// Returns the peers that became silent since the last call, and removes those that were silent for `FORGET_MS`.
     pub fn drop_silent(&mut self, now: TimeMs) -> Vec<(NameHash, SocketAddrV4)> {
         self.peers
-            .retain(|_, peer| now.since_ms(peer.heard_at) < FORGET_MS);
+            .retain(|_, peer| now.since_ms(peer.last_seen_at) < FORGET_MS);
         let peer_silent_ms = self.timing.peer_silent_ms;
         let mut silent = Vec::new();
         for (instance, peer) in &mut self.peers {
-            if peer.is_alive && now.since_ms(peer.heard_at) >= peer_silent_ms {
+            if peer.is_alive && now.since_ms(peer.last_seen_at) >= peer_silent_ms {
                 peer.is_alive = false;
                 silent.push((*instance, peer.address));
             }
@@ -143,19 +144,19 @@
         silent
     }
 
-    /// Works the times out for so many peers that are sent direct messages.
+    /// Sets the timing for a number of peers that are sent direct messages.
     pub(crate) fn set_direct_peers(&mut self, peers: usize) {
         self.timing = GossipTiming::of(peers);
     }
 
-    /// Returns the addresses that the next direct message goes to, which are those of all peers, silent
-    /// ones now and then; with `is_aggregated` those alone that know no aggregators.
+    /// Returns the target addresses of the next direct message: all peers, silent ones only every
+    /// [`SILENT_PEER_RETRY_MS`]. With `is_aggregated`, only peers that do not support aggregators.
     pub(crate) fn direct_targets(&mut self, is_aggregated: bool, now: TimeMs) -> Vec<SocketAddrV4> {
         let mut targets = Vec::new();
         for peer in self.peers.values_mut() {
-            let is_due = peer.is_alive || is_due_again(peer.sent_at, now);
-            let is_reached_directly = !is_aggregated || (peer.is_alive && peer.protocol == 0);
-            if is_due && is_reached_directly {
+            let is_due = peer.is_alive || is_retry_due(peer.sent_at, now);
+            let is_direct_target = !is_aggregated || (peer.is_alive && peer.protocol == 0);
+            if is_due && is_direct_target {
                 peer.sent_at = Some(now);
                 targets.push(peer.address);
             }
@@ -163,18 +164,18 @@
         targets
     }
 
-    /// Returns the seeds if it is time to send to them again: now and then, and with every message while no
-    /// peer answers. When all instances start together, the seeds may be the last of them.
+    /// Returns the seeds if they are due: every [`SILENT_PEER_RETRY_MS`], and for every message while no peer is alive.
+    /// When all instances start together, the seeds may start last.
     pub(crate) fn due_seeds(&mut self, now: TimeMs) -> Vec<SocketAddrV4> {
-        let is_alone = self.alive().next().is_none();
-        if !is_alone && !is_due_again(self.seeds_sent_at, now) {
+        let has_no_peer = self.alive().next().is_none();
+        if !has_no_peer && !is_retry_due(self.seeds_sent_at, now) {
             return Vec::new();
         }
         self.seeds_sent_at = Some(now);
         self.seeds.clone()
     }
 
-    /// Returns some peers for the next message to name, others each time.
+    /// Returns the peers that the next message names; successive calls rotate through the peers that are alive.
     pub(crate) fn rows(&mut self) -> Vec<MemberRow> {
         let mut alive: Vec<MemberRow> = self
             .peers
@@ -186,31 +187,31 @@
         if alive.is_empty() {
             return alive;
         }
-        self.first_row = (self.first_row + ROWS_PER_MESSAGE) % alive.len().max(ROWS_PER_MESSAGE);
+        self.first_row = (self.first_row + ROWS_PER_MESSAGE_MAX) % alive.len().max(ROWS_PER_MESSAGE_MAX);
         let from = self.first_row % alive.len();
         alive.rotate_left(from);
-        alive.truncate(ROWS_PER_MESSAGE);
+        alive.truncate(ROWS_PER_MESSAGE_MAX);
         alive
     }
 
-    /// Returns the peers that a new one of a failure domain is told of: the best ranked of its own domain,
-    /// and the best ranked one of each other.
+    /// Returns the peers to name to a new peer of a failure domain: the best ranked of its own domain, and the best
+    /// ranked of each other domain.
     pub(crate) fn rows_for_new(&self, failure_domain: NameHash, now: TimeMs) -> Vec<MemberRow> {
         let mut ranked: Vec<(NameHash, DutyRank)> = self
             .candidates(now)
             .map(|(rank, peer)| (peer.failure_domain, rank))
             .collect();
         ranked.sort_unstable_by_key(|(domain, rank)| (*domain, *rank));
-        let mut named: HashMap<NameHash, usize> = HashMap::new();
+        let mut row_counts: HashMap<NameHash, usize> = HashMap::new();
         let mut rows = Vec::new();
         for (domain, rank) in ranked {
-            let count = named.entry(domain).or_default();
-            let most = if domain == failure_domain {
-                ROWS_OF_DOMAIN
+            let count = row_counts.entry(domain).or_default();
+            let rows_max = if domain == failure_domain {
+                OWN_DOMAIN_ROWS_MAX
             } else {
                 1
             };
-            if *count < most {
+            if *count < rows_max {
                 *count += 1;
                 let instance = rank.instance();
                 rows.push(member_row(instance, &self.peers[&instance]));
@@ -219,7 +220,7 @@
         rows
     }
 
-    /// Returns a peer as messages name it.
+    /// Returns the row by which messages name a peer.
     pub(crate) fn row(&self, instance: NameHash) -> Option<MemberRow> {
         self.peers.get(&instance).map(|peer| member_row(instance, peer))
     }
@@ -229,18 +230,19 @@
         self.peers.get(&instance)
     }
 
-    /// Returns the peers that may aggregate, with their ranks: those that know of aggregators, do not stop,
-    /// and were heard of lately.
+    /// Returns the peers that may aggregate, with their ranks: those that support aggregators, are not stopping, and
+    /// were seen recently.
     pub(crate) fn candidates(&self, now: TimeMs) -> impl Iterator<Item = (DutyRank, &Peer)> {
         let candidates = self.known_candidates();
-        candidates.filter(move |(_, peer)| is_recent(peer, now))
+        candidates.filter(move |(_, peer)| is_recently_seen(peer, now))
     }
 
-    /// Returns the same with those that were not heard of lately: a failure domain may have been cut off.
+    /// Returns the peers that may aggregate, including those not seen recently, since a partition may hide a whole
+    /// failure domain.
     fn known_candidates(&self) -> impl Iterator<Item = (DutyRank, &Peer)> {
         self.peers.iter().filter_map(|(instance, peer)| {
-            let is_known = peer.failure_domain != NameHash::default() && peer.protocol > 0;
-            let may_aggregate = is_known && !peer.is_stopping;
+            let has_aggregation_data = peer.failure_domain != NameHash::default() && peer.protocol > 0;
+            let may_aggregate = has_aggregation_data && !peer.is_stopping;
             may_aggregate.then_some((DutyRank::of(*instance, peer.processor_milli), peer))
         })
     }
@@ -252,8 +254,8 @@
         of_domain.map(|(rank, _)| rank)
     }
 
-    /// Returns the addresses of the peers that may aggregate, by failure domain, best rank first and those
-    /// that were not heard of lately last; of the own failure domain those alone that rank before the own rank.
+    /// Returns the addresses of the peers that may aggregate, by failure domain, in order of rank. Those not seen
+    /// recently come last. Of the own failure domain, only peers that rank before this instance are included.
     pub(crate) fn ranked_by_domain(
         &self,
         own_domain: NameHash,
@@ -264,7 +266,7 @@
         for (rank, peer) in self.known_candidates() {
             if peer.failure_domain != own_domain || rank < own_rank {
                 let of_domain = ranks.entry(peer.failure_domain).or_default();
-                of_domain.push((!is_recent(peer, now), rank, peer.address));
+                of_domain.push((!is_recently_seen(peer, now), rank, peer.address));
             }
         }
         let sorted = ranks.into_iter().map(|(failure_domain, mut ranked)| {
@@ -275,25 +277,25 @@
         sorted.collect()
     }
 
-    /// Returns how many peers were heard of lately.
+    /// Returns the number of peers that were seen recently.
     pub(crate) fn known_count(&self, now: TimeMs) -> usize {
-        let recent = self.peers.values().filter(|peer| is_recent(peer, now));
+        let recent = self.peers.values().filter(|peer| is_recently_seen(peer, now));
         recent.count()
     }
 
-    /// Returns the peers that are alive, as the store-reader rule sees them.
+    /// Returns the peers that are alive, as input for the store-reader rule.
     pub fn reader_candidates(&self, now: TimeMs) -> impl Iterator<Item = ReaderCandidate> {
         let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive);
         alive.map(move |(instance, peer)| ReaderCandidate {
             instance: *instance,
             failure_domain: peer.failure_domain,
             processor_milli: peer.processor_milli,
-            silent_ms: now.since_ms(peer.heard_at),
+            silent_ms: now.since_ms(peer.last_seen_at),
             is_stopping: peer.is_stopping,
         })
     }
 
-    /// Returns the peer with the newest configuration, if that is newer than a version.
+    /// Returns the address of the peer with the newest configuration, if that is newer than `version`.
     pub fn with_newer_configuration(&self, version: u64) -> Option<SocketAddrV4> {
         self.alive()
             .filter(|peer| peer.configuration_version > version)
@@ -301,8 +303,8 @@
             .map(|peer| peer.address)
     }
 
-    /// Returns the peer with the newest server list, if that is newer than a revision; one of the same
-    /// failure domain first, since the links between domains are poor.
+    /// Returns a peer whose server list is newer than `revision`: the one with the newest list in the failure domain
+    /// `domain`, or in another if that has none, since the links between domains are poor.
     pub fn with_newer_servers(
         &self,
         revision: StorePosition,
@@ -314,23 +316,23 @@
             .map(|peer| (peer.address, peer.servers_revision))
     }
 
-    /// Returns the peers that are known, silent ones included, each with its failure domain.
+    /// Returns the known peers, including silent ones, each with its failure domain.
     pub(crate) fn members(&self) -> impl Iterator<Item = (NameHash, NameHash)> {
-        let known = self.peers.iter();
-        known.map(|(instance, peer)| (*instance, peer.failure_domain))
+        let peers = self.peers.iter();
+        peers.map(|(instance, peer)| (*instance, peer.failure_domain))
     }
 
-    /// Returns the times of direct messages.
+    /// Returns the timing of direct messages.
     pub fn timing(&self) -> GossipTiming {
         self.timing
     }
 
-    /// Returns the peers whose own messages come.
+    /// Returns the peers that are alive.
     pub fn alive(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(|peer| peer.is_alive)
     }
 
-    /// Returns the names of the peers of a failure domain whose own messages come.
+    /// Returns the names of the peers of a failure domain that are alive.
     pub(crate) fn alive_in(&self, failure_domain: NameHash) -> impl Iterator<Item = NameHash> {
         let alive = self.peers.iter().filter(|(_, peer)| peer.is_alive);
         alive
@@ -339,14 +341,14 @@
     }
 }
 
-/// Tells whether one that does not answer is to be sent a message again.
-fn is_due_again(sent_at: Option<TimeMs>, now: TimeMs) -> bool {
-    sent_at.is_none_or(|sent_at| now.since_ms(sent_at) >= SILENT_EVERY_MS)
+/// Returns whether a silent peer or a seed is due for another message.
+fn is_retry_due(sent_at: Option<TimeMs>, now: TimeMs) -> bool {
+    sent_at.is_none_or(|sent_at| now.since_ms(sent_at) >= SILENT_PEER_RETRY_MS)
 }
 
-/// Tells whether a peer speaks, or was named lately.
-fn is_recent(peer: &Peer, now: TimeMs) -> bool {
-    peer.is_alive || now.since_ms(peer.heard_at) < NAMED_VALID_MS
+/// Returns whether a peer is alive, or another instance named it recently.
+fn is_recently_seen(peer: &Peer, now: TimeMs) -> bool {
+    peer.is_alive || now.since_ms(peer.last_seen_at) < MENTIONED_VALID_MS
 }
 
 fn member_row(instance: NameHash, peer: &Peer) -> MemberRow {
--- a/crates/reedsail_gossip/tests/peer_starts.rs
+++ b/crates/reedsail_gossip/tests/peer_starts.rs
@@ -1,4 +1,7 @@
-//! How a peer that was started anew is told from one that goes on.
+//! Detection of restarted peers.
+//!
+//! Guards against a restarted peer that is taken for one that was alive all along and is therefore not introduced to
+//! the fleet: it restarts before its silence is noticed.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -27,7 +30,7 @@
     LoadExchange::new(identity, seeds)
 }
 
-/// Sends the sender's next message to the receiver.
+/// Sends the sender's next message to the receiver, and returns its arrival.
 fn send(sender: &mut LoadExchange, receiver: &mut LoadExchange, now: TimeMs) -> Arrival {
     let outgoing = sender.outgoing(&MessageHeader::default(), Some(LoadReport::default()), now);
     let message = outgoing.into_iter().next().unwrap().message;
@@ -43,7 +46,7 @@
     assert_eq!(
         send(&mut sender, &mut receiver, later),
         Arrival::FromNew,
-        "it was silent"
+        "the peer was silent"
     );
     let mut restarted = exchange("hall-a-2", 8, vec![address(1)]);
     let at_once = later.plus_ms(100);
--- a/crates/reedsail_gossip/tests/simulated_network/mod.rs
+++ b/crates/reedsail_gossip/tests/simulated_network/mod.rs
@@ -1,6 +1,7 @@
-//! Instances that exchange load over a network of seeded delay, loss and cuts, in simulated time.
+//! A simulated network of instances that exchange load, with seeded delay and loss, with partitions, and in simulated
+//! time.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -25,23 +26,23 @@
 use reedsail_wire::LoadMessage;
 use reedsail_wire::LoadScope;
 
-/// Interval at which a test looks at the state, in milliseconds.
-const LOOK_MS: u64 = 50;
-/// Interval at which the first release is asked what to send, in milliseconds.
+/// Interval at which a test checks the state, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 50;
+/// Tick interval of an instance of the first release, in milliseconds.
 const FIRST_RELEASE_TICK_MS: u64 = 50;
 /// Pressure of a fleet whose servers are busy, in thousandths.
-const BUSY_MILLI: u32 = 1_000;
-/// Time that an instance takes to fetch what it heard of, in milliseconds.
-const FETCH_MS: u64 = 25;
-/// Instances of the settings' list of seeds.
-const SEEDS: usize = 3;
-/// The one backend server whose load is followed.
+const BUSY_PRESSURE_MILLI: u32 = 1_000;
+/// Time that an instance takes to fetch a newer configuration, in milliseconds.
+const FETCH_DELAY_MS: u64 = 25;
+/// Number of instances in the settings' list of seeds.
+const SEED_COUNT: usize = 3;
+/// The backend server whose load the tests check.
 const SERVER: NameHash = NameHash(77);
 
-/// How a network treats datagrams.
+/// The loss and delay of datagrams.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Links {
-    /// Part of the datagrams that is lost.
+    /// Probability that a datagram is lost.
     pub(crate) loss: f64,
     /// Longest delay, in milliseconds.
     pub(crate) delay_max_ms: u64,
@@ -56,58 +57,58 @@
     }
 }
 
-/// One instance as the network sees it.
-struct Node {
+/// The state of one instance in the network.
+struct SimulatedInstance {
     exchange: LoadExchange,
     domain: usize,
     processor_milli: u32,
     is_up: bool,
-    ticks_at: u64,
-    /// Load by source, as the decisions count it.
+    next_tick_at: u64,
+    /// Load by source that counts for decisions.
     counted: HashMap<NameHash, LoadReport>,
-    /// Requests that this instance runs on the server.
+    /// Number of requests that this instance runs on [`SERVER`].
     running: u16,
     prefixes: Vec<PrefixRow>,
     suspects: Vec<SuspectRow>,
     known_suspects: HashSet<Fingerprint>,
-    /// Segments that it was told of.
+    /// Prompt segments that the instance received in prefix rows.
     known_segments: HashSet<u32>,
     sent_messages: u64,
-    /// What it reports beside the server whose load is followed.
+    /// Load that the instance reports in addition to that of [`SERVER`].
     load: LoadReport,
-    head: MessageHeader,
+    header: MessageHeader,
     traffic: Traffic,
-    /// The first release, which sends its load to everyone and knows no sums.
-    is_old: bool,
+    /// Whether the instance runs the first release, which sends its load to all instances and does not support sums.
+    is_first_release: bool,
 }
 
-/// What an instance has to do with messages, since it was last asked.
+/// Message figures of an instance since the measurement began.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) sent_bytes: u64,
-    /// Of these, to other failure domains.
-    pub(crate) far_bytes: u64,
+    /// Bytes sent to other failure domains.
+    pub(crate) cross_domain_bytes: u64,
     pub(crate) received_bytes: u64,
-    /// Ticks, and messages received.
+    /// Number of ticks and received messages.
     pub(crate) wake_ups: u64,
 }
 
 /// The network and its instances.
 pub(crate) struct Network {
-    nodes: Vec<Node>,
+    instances: Vec<SimulatedInstance>,
     now: u64,
     random: StdRng,
     links: Links,
-    /// Messages on their way, by the moment at which they arrive.
-    on_their_way: BTreeMap<u64, Vec<(usize, usize, LoadMessage)>>,
-    /// Failure domains that are cut off from the others.
-    cut_domains: HashSet<usize>,
-    cut_nodes: HashSet<usize>,
-    /// Messages are encoded to be measured.
+    /// Messages in flight as sender, receiver and message, by arrival time.
+    in_flight: BTreeMap<u64, Vec<(usize, usize, LoadMessage)>>,
+    /// Failure domains that a partition separates from the others.
+    partitioned_domains: HashSet<usize>,
+    partitioned_instances: HashSet<usize>,
+    /// Whether messages are encoded to measure their size.
     is_measured: bool,
 }
 
-fn name(index: usize) -> NameHash {
+fn instance_name(index: usize) -> NameHash {
     NameHash::of(&format!("instance-{index}"))
 }
 
@@ -122,36 +123,36 @@
 }
 
 impl Network {
-    /// Makes `instances` in `domains` failure domains that start within 300 ms, the first fifteen larger than
-    /// the others.
-    pub(crate) fn start(instances: usize, domains: usize, links: Links, seed: u64) -> Self {
+    /// Creates a network of instances in `domains` failure domains. All start within 300 ms, and the first fifteen are
+    /// larger than the others.
+    pub(crate) fn start(instance_count: usize, domains: usize, links: Links, seed: u64) -> Self {
         let processor_milli = |index| if index < 15 { 500 } else { 120 };
-        Self::start_with(instances, domains, processor_milli, links, seed)
+        Self::start_with(instance_count, domains, processor_milli, links, seed)
     }
 
-    /// Makes instances that may all use as much of a core.
-    pub(crate) fn start_alike(instances: usize, domains: usize, processor_milli: u32, seed: u64) -> Self {
-        Self::start_with(instances, domains, |_| processor_milli, Links::default(), seed)
+    /// Creates a network of instances that have the same share of a core.
+    pub(crate) fn start_uniform(instance_count: usize, domains: usize, processor_milli: u32, seed: u64) -> Self {
+        Self::start_with(instance_count, domains, |_| processor_milli, Links::default(), seed)
     }
 
     fn start_with(
-        instances: usize,
+        instance_count: usize,
         domains: usize,
         processor_milli: impl Fn(usize) -> u32,
         links: Links,
         seed: u64,
     ) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let nodes = (0..instances)
+        let instances = (0..instance_count)
             .map(|index| {
                 let processor_milli = processor_milli(index);
                 let identity = identity(index, domains, processor_milli, &mut random);
-                Node {
+                SimulatedInstance {
                     exchange: LoadExchange::new(identity, seeds()),
                     domain: index % domains,
                     processor_milli,
                     is_up: true,
-                    ticks_at: random.random_range(0..300),
+                    next_tick_at: random.random_range(0..300),
                     counted: HashMap::new(),
                     running: 0,
                     prefixes: Vec::new(),
@@ -160,90 +161,91 @@
                     known_segments: HashSet::new(),
                     sent_messages: 0,
                     load: LoadReport::default(),
-                    head: MessageHeader {
-                        load_pressure_milli: BUSY_MILLI,
+                    header: MessageHeader {
+                        load_pressure_milli: BUSY_PRESSURE_MILLI,
                         ..MessageHeader::default()
                     },
                     traffic: Traffic::default(),
-                    is_old: false,
+                    is_first_release: false,
                 }
             })
             .collect();
         Self {
-            nodes,
+            instances,
             now: 0,
             random,
             links,
-            on_their_way: BTreeMap::new(),
-            cut_domains: HashSet::new(),
-            cut_nodes: HashSet::new(),
+            in_flight: BTreeMap::new(),
+            partitioned_domains: HashSet::new(),
+            partitioned_instances: HashSet::new(),
             is_measured: false,
         }
     }
 
-    /// Lets an instance send as the first release does.
-    pub(crate) fn make_old(&mut self, index: usize) {
-        self.nodes[index].is_old = true;
+    /// Makes an instance run the first release.
+    pub(crate) fn use_first_release(&mut self, index: usize) {
+        self.instances[index].is_first_release = true;
     }
 
-    /// Lets an instance report this beside the server whose load is followed.
+    /// Sets the load that an instance reports in addition to that of [`SERVER`].
     pub(crate) fn set_load(&mut self, index: usize, load: LoadReport) {
-        self.nodes[index].load = load;
+        self.instances[index].load = load;
     }
 
-    /// Lets all instances know of a pressure, in thousandths.
+    /// Sets the load pressure at all instances, in thousandths.
     pub(crate) fn set_pressure(&mut self, pressure_milli: u32) {
-        for node in &mut self.nodes {
-            node.head.load_pressure_milli = pressure_milli;
+        for instance in &mut self.instances {
+            instance.header.load_pressure_milli = pressure_milli;
         }
     }
 
-    /// Lets an instance know a version of the configuration.
-    pub(crate) fn set_version(&mut self, index: usize, version: u64) {
-        self.nodes[index].head.configuration_version = version;
-        self.nodes[index].ticks_at = self.now + 1;
+    /// Sets the configuration version of an instance.
+    pub(crate) fn set_configuration_version(&mut self, index: usize, version: u64) {
+        self.instances[index].header.configuration_version = version;
+        self.instances[index].next_tick_at = self.now + 1;
     }
 
-    /// Returns how many of the instances know a version of the configuration. One that hears of it takes it over.
-    pub(crate) fn with_version(&self, version: u64) -> usize {
-        let known = self.nodes.iter();
-        known
-            .filter(|node| node.head.configuration_version >= version)
+    /// Returns the number of instances that have at least a configuration version. An instance adopts a newer version
+    /// from a message.
+    pub(crate) fn count_with_version(&self, version: u64) -> usize {
+        let instances = self.instances.iter();
+        instances
+            .filter(|instance| instance.header.configuration_version >= version)
             .count()
     }
 
-    /// Begins to measure messages.
-    pub(crate) fn measure(&mut self) {
+    /// Starts to measure messages.
+    pub(crate) fn start_measuring(&mut self) {
         self.is_measured = true;
-        for node in &mut self.nodes {
-            node.traffic = Traffic::default();
+        for instance in &mut self.instances {
+            instance.traffic = Traffic::default();
         }
     }
 
-    /// Returns what each instance has had to do with messages since then.
+    /// Returns the message figures of each instance since the measurement began.
     pub(crate) fn traffic(&self) -> Vec<Traffic> {
-        self.nodes.iter().map(|node| node.traffic).collect()
+        self.instances.iter().map(|instance| instance.traffic).collect()
     }
 
     pub(crate) fn set_running(&mut self, index: usize, running: u16) {
-        self.nodes[index].running = running;
+        self.instances[index].running = running;
     }
 
-    /// Lets an instance report that it sent a segment to the server.
+    /// Makes an instance report that it sent a prompt segment to [`SERVER`].
     pub(crate) fn report_segment(&mut self, index: usize, segment: u32) {
-        self.nodes[index].prefixes.push(PrefixRow {
+        self.instances[index].prefixes.push(PrefixRow {
             segment,
             server: SERVER,
         });
     }
 
     pub(crate) fn knows_segment(&self, index: usize, segment: u32) -> bool {
-        self.nodes[index].known_segments.contains(&segment)
+        self.instances[index].known_segments.contains(&segment)
     }
 
-    /// Lets an instance report from now on that servers ended under a request.
+    /// Makes an instance report, from now on, that servers ended while they ran a request.
     pub(crate) fn report_suspect(&mut self, index: usize, fingerprint: Fingerprint, servers: &[NameHash]) {
-        self.nodes[index].suspects.push(SuspectRow {
+        self.instances[index].suspects.push(SuspectRow {
             fingerprint,
             servers: servers.to_vec(),
             ..SuspectRow::default()
@@ -251,69 +253,69 @@
     }
 
     pub(crate) fn knows_suspect(&self, index: usize, fingerprint: Fingerprint) -> bool {
-        self.nodes[index].known_suspects.contains(&fingerprint)
+        self.instances[index].known_suspects.contains(&fingerprint)
     }
 
-    /// Ends processes, without a word.
+    /// Ends an instance without a message to its peers.
     pub(crate) fn kill(&mut self, index: usize) {
-        self.nodes[index].is_up = false;
-        self.nodes[index].running = 0;
+        self.instances[index].is_up = false;
+        self.instances[index].running = 0;
     }
 
-    /// Starts an instance anew: it knows nothing but its seeds.
+    /// Restarts an instance, which then knows only its seeds.
     pub(crate) fn restart(&mut self, index: usize) {
-        let domains = 1 + self.nodes.iter().map(|node| node.domain).max().unwrap();
-        let processor_milli = self.nodes[index].processor_milli;
+        let domains = 1 + self.instances.iter().map(|instance| instance.domain).max().unwrap();
+        let processor_milli = self.instances[index].processor_milli;
         let identity = identity(index, domains, processor_milli, &mut self.random);
-        let node = &mut self.nodes[index];
-        node.exchange = LoadExchange::new(identity, seeds());
-        node.counted.clear();
-        node.is_up = true;
-        node.ticks_at = self.now + self.random.random_range(0..300);
+        let instance = &mut self.instances[index];
+        instance.exchange = LoadExchange::new(identity, seeds());
+        instance.counted.clear();
+        instance.is_up = true;
+        instance.next_tick_at = self.now + self.random.random_range(0..300);
     }
 
-    pub(crate) fn cut_domain(&mut self, domain: usize) {
-        self.cut_domains.insert(domain);
+    pub(crate) fn partition_domain(&mut self, domain: usize) {
+        self.partitioned_domains.insert(domain);
     }
 
-    pub(crate) fn heal(&mut self) {
-        self.cut_domains.clear();
-        self.cut_nodes.clear();
+    pub(crate) fn heal_partitions(&mut self) {
+        self.partitioned_domains.clear();
+        self.partitioned_instances.clear();
     }
 
-    pub(crate) fn cut_node(&mut self, index: usize) {
-        self.cut_nodes.insert(index);
+    pub(crate) fn partition_instance(&mut self, index: usize) {
+        self.partitioned_instances.insert(index);
     }
 
-    /// Returns the instances that are up, by failure domain.
-    pub(crate) fn up_in(&self, domain: usize) -> Vec<usize> {
-        let nodes = self.nodes.iter().enumerate();
-        nodes
-            .filter(|(_, node)| node.is_up && node.domain == domain)
+    /// Returns the instances of a failure domain that are up.
+    pub(crate) fn instances_up_in(&self, domain: usize) -> Vec<usize> {
+        let instances = self.instances.iter().enumerate();
+        instances
+            .filter(|(_, instance)| instance.is_up && instance.domain == domain)
             .map(|(index, _)| index)
             .collect()
     }
 
-    /// Returns the instance of a failure domain that the others are to report to.
-    pub(crate) fn best_in(&self, domain: usize) -> usize {
-        let up = self.up_in(domain);
+    /// Returns the best ranked instance of a failure domain, which should be an aggregator.
+    pub(crate) fn best_ranked_in(&self, domain: usize) -> usize {
+        let up = self.instances_up_in(domain);
         let rank = |index: &usize| {
             (
-                std::cmp::Reverse(self.nodes[*index].processor_milli),
-                name(*index),
+                std::cmp::Reverse(self.instances[*index].processor_milli),
+                instance_name(*index),
             )
         };
         up.into_iter().min_by_key(rank).unwrap()
     }
 
-    /// Runs until every instance knows the others' load, for a time at most; `false` if some never did.
-    pub(crate) fn settles_within(&mut self, span_ms: u64) -> bool {
+    /// Runs until every instance knows the load of all others; returns `false` if that takes longer than `span_ms`.
+    pub(crate) fn converges_within(&mut self, span_ms: u64) -> bool {
         let until = self.now + span_ms;
-        while !self.wrong().is_empty() {
+        while !self.instances_with_wrong_load().is_empty() {
             if self.now >= until {
                 return false;
             }
-            self.run_for(LOOK_MS);
+            self.run_for(CHECK_INTERVAL_MS);
         }
         true
     }
@@ -323,8 +325,8 @@
         while self.now < until {
             self.now += 1;
             self.deliver();
-            for index in 0..self.nodes.len() {
-                if self.nodes[index].is_up && self.nodes[index].ticks_at <= self.now {
+            for index in 0..self.instances.len() {
+                if self.instances[index].is_up && self.instances[index].next_tick_at <= self.now {
                     self.tick(index);
                 }
             }
@@ -332,73 +334,73 @@
     }
 
     fn deliver(&mut self) {
-        let due = self.on_their_way.remove(&self.now).unwrap_or_default();
+        let due = self.in_flight.remove(&self.now).unwrap_or_default();
         for (from, to, message) in due {
             let now = TimeMs(self.now);
-            let node = &mut self.nodes[to];
-            if !node.is_up {
+            let instance = &mut self.instances[to];
+            if !instance.is_up {
                 continue;
             }
             for row in &message.load.prefixes {
-                node.known_segments.insert(row.segment);
+                instance.known_segments.insert(row.segment);
             }
-            node.traffic.wake_ups += 1;
+            instance.traffic.wake_ups += 1;
             if self.is_measured {
-                node.traffic.received_bytes += message.encode().unwrap().len() as u64;
+                instance.traffic.received_bytes += message.encode().unwrap().len() as u64;
             }
             let version = message.configuration_version;
-            if version > node.head.configuration_version {
-                node.head.configuration_version = version;
-                node.ticks_at = node.ticks_at.min(self.now + FETCH_MS);
+            if version > instance.header.configuration_version {
+                instance.header.configuration_version = version;
+                instance.next_tick_at = instance.next_tick_at.min(self.now + FETCH_DELAY_MS);
             }
-            let receipt = node.exchange.receive(message, address(from), now);
-            for source in receipt.dropped {
-                node.counted.remove(&source);
+            let outcome = instance.exchange.receive(message, address(from), now);
+            for source in outcome.dropped {
+                instance.counted.remove(&source);
             }
-            if let Some((source, load)) = receipt.counted {
+            if let Some((source, load)) = outcome.counted {
                 let fingerprints = load.suspects.iter().map(|row| row.fingerprint);
-                node.known_suspects.extend(fingerprints);
-                node.counted.insert(source, load);
+                instance.known_suspects.extend(fingerprints);
+                instance.counted.insert(source, load);
             }
         }
     }
 
     fn tick(&mut self, index: usize) {
         let now = TimeMs(self.now);
-        let node = &mut self.nodes[index];
-        // A timer goes off up to a millisecond late.
-        let tick_ms = if node.is_old {
+        let instance = &mut self.instances[index];
+        // A timer fires up to a millisecond late.
+        let tick_ms = if instance.is_first_release {
             FIRST_RELEASE_TICK_MS
         } else {
-            node.exchange.tick_ms(now) + u64::from(self.random.random_bool(0.5))
+            instance.exchange.tick_ms(now) + u64::from(self.random.random_bool(0.5))
         };
-        node.ticks_at = self.now + tick_ms;
-        node.traffic.wake_ups += 1;
-        for lost in node.exchange.drop_silent(now) {
-            node.counted.remove(&lost.instance);
+        instance.next_tick_at = self.now + tick_ms;
+        instance.traffic.wake_ups += 1;
+        for lost in instance.exchange.drop_silent(now) {
+            instance.counted.remove(&lost.instance);
         }
-        let followed = ServerLoadRow {
+        let server_row = ServerLoadRow {
             server: SERVER,
-            running: node.running,
+            running: instance.running,
             failure_rate: 0,
-            prefill_tokens: u32::from(node.running) * 1_000,
+            prefill_tokens: u32::from(instance.running) * 1_000,
             is_down: false,
             is_draining: false,
             is_backed_off: false,
         };
-        let load = node.exchange.is_due(&node.head, now).then(|| LoadReport {
-            servers: [&[followed][..], &node.load.servers].concat(),
-            workspaces: node.load.workspaces.clone(),
-            prefixes: std::mem::take(&mut node.prefixes),
-            suspects: node.suspects.clone(),
+        let load = instance.exchange.is_due(&instance.header, now).then(|| LoadReport {
+            servers: [&[server_row][..], &instance.load.servers].concat(),
+            workspaces: instance.load.workspaces.clone(),
+            prefixes: std::mem::take(&mut instance.prefixes),
+            suspects: instance.suspects.clone(),
         });
-        if node.is_old {
+        if instance.is_first_release {
             self.send_as_first_release(index, load.unwrap_or_default());
             return;
         }
-        let outgoing = node.exchange.outgoing(&node.head, load, now);
+        let outgoing = instance.exchange.outgoing(&instance.header, load, now);
         for mut message in outgoing {
-            // Targets come in the order of a hash map, which is another one in each run.
+            // The targets are in the order of a hash map, which differs in each run.
             message.targets.sort_unstable();
             let bytes = if self.is_measured {
                 message.message.encode().unwrap().len() as u64
@@ -407,24 +409,24 @@
             };
             for target in message.targets {
                 let to = index_of(target);
-                let is_far = self.nodes[index].domain != self.nodes[to].domain;
-                let node = &mut self.nodes[index];
-                node.sent_messages += 1;
-                node.traffic.sent_bytes += bytes;
-                node.traffic.far_bytes += if is_far { bytes } else { 0 };
+                let is_cross_domain = self.instances[index].domain != self.instances[to].domain;
+                let instance = &mut self.instances[index];
+                instance.sent_messages += 1;
+                instance.traffic.sent_bytes += bytes;
+                instance.traffic.cross_domain_bytes += if is_cross_domain { bytes } else { 0 };
                 self.send(index, to, message.message.clone());
             }
         }
     }
 
-    /// Sends an instance's own load to everyone, without a word of aggregators.
+    /// Sends an instance's own load to all others, in a message without the fields for aggregators.
     fn send_as_first_release(&mut self, index: usize, load: LoadReport) {
-        self.nodes[index].sent_messages += 1;
+        self.instances[index].sent_messages += 1;
         let message = LoadMessage {
-            instance: name(index),
+            instance: instance_name(index),
             incarnation: 1,
-            sequence: self.nodes[index].sent_messages as u32,
-            failure_domain: NameHash::of(&format!("domain-{}", self.nodes[index].domain)),
+            sequence: self.instances[index].sent_messages as u32,
+            failure_domain: NameHash::of(&format!("domain-{}", self.instances[index].domain)),
             configuration_version: 0,
             configuration_age_ms: 0,
             servers_revision: StorePosition::default(),
@@ -444,71 +446,71 @@
             evacuations: Vec::new(),
             members: Vec::new(),
         };
-        for to in (0..self.nodes.len()).filter(|to| *to != index) {
+        for to in (0..self.instances.len()).filter(|to| *to != index) {
             self.send(index, to, message.clone());
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: LoadMessage) {
-        let (from_domain, to_domain) = (self.nodes[from].domain, self.nodes[to].domain);
-        let crosses_cut = from_domain != to_domain
-            && (self.cut_domains.contains(&from_domain) || self.cut_domains.contains(&to_domain));
-        let is_cut = crosses_cut || self.cut_nodes.contains(&from) || self.cut_nodes.contains(&to);
-        if is_cut || self.random.random_bool(self.links.loss) {
+        let (from_domain, to_domain) = (self.instances[from].domain, self.instances[to].domain);
+        let crosses_partition = from_domain != to_domain
+            && (self.partitioned_domains.contains(&from_domain) || self.partitioned_domains.contains(&to_domain));
+        let is_partitioned = crosses_partition || self.partitioned_instances.contains(&from) || self.partitioned_instances.contains(&to);
+        if is_partitioned || self.random.random_bool(self.links.loss) {
             return;
         }
         let delay_ms = self.random.random_range(1..=self.links.delay_max_ms);
-        let arrivals = self.on_their_way.entry(self.now + delay_ms).or_default();
+        let arrivals = self.in_flight.entry(self.now + delay_ms).or_default();
         arrivals.push((from, to, message));
     }
 
-    /// Returns how many requests an instance takes to run on the server from others.
+    /// Returns the number of requests of other instances on [`SERVER`], as an instance knows it.
     pub(crate) fn running_elsewhere(&self, index: usize) -> u32 {
-        let rows = self.nodes[index].counted.values().flat_map(|load| &load.servers);
-        let followed = rows.filter(|row| row.server == SERVER);
-        followed.map(|row| u32::from(row.running)).sum()
+        let rows = self.instances[index].counted.values().flat_map(|load| &load.servers);
+        let server_rows = rows.filter(|row| row.server == SERVER);
+        server_rows.map(|row| u32::from(row.running)).sum()
     }
 
-    /// Returns how many do, of the instances that are up.
-    pub(crate) fn truly_running_elsewhere(&self, index: usize) -> u32 {
-        let others = self.nodes.iter().enumerate();
+    /// Returns the actual number of requests of other instances on [`SERVER`], of those that are up.
+    pub(crate) fn actual_running_elsewhere(&self, index: usize) -> u32 {
+        let others = self.instances.iter().enumerate();
         others
-            .filter(|(other, node)| *other != index && node.is_up)
-            .map(|(_, node)| u32::from(node.running))
+            .filter(|(other, instance)| *other != index && instance.is_up)
+            .map(|(_, instance)| u32::from(instance.running))
             .sum()
     }
 
-    /// Returns the instances that are up and take another load for the truth.
-    pub(crate) fn wrong(&self) -> Vec<usize> {
-        let up = (0..self.nodes.len()).filter(|index| self.nodes[*index].is_up);
-        up.filter(|index| self.running_elsewhere(*index) != self.truly_running_elsewhere(*index))
+    /// Returns the instances that are up and know a load that differs from the actual load.
+    pub(crate) fn instances_with_wrong_load(&self) -> Vec<usize> {
+        let up = (0..self.instances.len()).filter(|index| self.instances[*index].is_up);
+        up.filter(|index| self.running_elsewhere(*index) != self.actual_running_elsewhere(*index))
             .collect()
     }
 
-    pub(crate) fn instances_known(&self, index: usize) -> usize {
-        self.nodes[index].exchange.instances(TimeMs(self.now))
+    pub(crate) fn known_instances(&self, index: usize) -> usize {
+        self.instances[index].exchange.instances(TimeMs(self.now))
     }
 
     pub(crate) fn load_age_ms(&self, index: usize) -> Option<u64> {
-        self.nodes[index].exchange.load_age_ms(TimeMs(self.now))
+        self.instances[index].exchange.load_age_ms(TimeMs(self.now))
     }
 
-    /// Returns the messages that each instance has sent since the last call.
-    pub(crate) fn take_sent(&mut self) -> Vec<u64> {
-        let nodes = self.nodes.iter_mut();
-        nodes
-            .map(|node| std::mem::take(&mut node.sent_messages))
+    /// Returns the number of messages that each instance sent since the last call.
+    pub(crate) fn take_sent_messages(&mut self) -> Vec<u64> {
+        let instances = self.instances.iter_mut();
+        instances
+            .map(|instance| std::mem::take(&mut instance.sent_messages))
             .collect()
     }
 }
 
 fn seeds() -> Vec<SocketAddrV4> {
-    (0..SEEDS).map(address).collect()
+    (0..SEED_COUNT).map(address).collect()
 }
 
 fn identity(index: usize, domains: usize, processor_milli: u32, random: &mut StdRng) -> InstanceIdentity {
     InstanceIdentity {
-        instance: name(index),
+        instance: instance_name(index),
         failure_domain: NameHash::of(&format!("domain-{}", index % domains)),
         incarnation: random.random(),
         processor_milli,
