--- a/crates/reedsail_gossip/src/aggregator_choice.rs
+++ b/crates/reedsail_gossip/src/aggregator_choice.rs
@@ -1,4 +1,4 @@
-//! Aggregator choice: the instance of the own failure domain that this instance reports to.
+//! Aggregator choice: the instance of its own failure domain that an instance reports to.
 //!
 //! **Rule.** The instances of a failure domain are ranked by their share of a processor, then by name hash. The best
 //! ranked are its aggregators; their number depends on their share of a processor ([`aggregator_count`]). Rendezvous
@@ -22,7 +22,7 @@
 /// Processor time that a member costs its aggregator, in microseconds per second.
 const MEMBER_US_PER_S: u32 = 600;
 /// Maximum part of its share of a processor that an aggregator spends on its members, as a divisor.
-const DUTY_DIVISOR: u32 = 10;
+const AGGREGATION_SHARE_DIVISOR: u32 = 10;
 /// Minimum and maximum number of members of one aggregator. The minimum limits the number of aggregators that exchange
 /// sums; the maximum prevents the loss of one large instance from affecting a whole failure domain.
 const MEMBERS_RANGE: (u32, u32) = (16, 80);
@@ -30,7 +30,7 @@
 /// Returns the number of aggregators of a failure domain, from its number of instances and the share of a core that the
 /// best ranked instance may use, in thousandths.
 pub(crate) fn aggregator_count(domain_instances: usize, processor_milli: u32) -> usize {
-    let members = processor_milli * 1_000 / DUTY_DIVISOR / MEMBER_US_PER_S;
+    let members = processor_milli * 1_000 / AGGREGATION_SHARE_DIVISOR / MEMBER_US_PER_S;
     let members = members.clamp(MEMBERS_RANGE.0, MEMBERS_RANGE.1) as usize;
     domain_instances.div_ceil(members).max(1)
 }
--- a/crates/reedsail_gossip/src/exchange_pace.rs
+++ b/crates/reedsail_gossip/src/exchange_pace.rs
@@ -1,9 +1,9 @@
 //! Exchange pace: how often load is reported in a fleet with aggregators, and how long a report is valid.
 //!
 //! **Rule.** At a pressure of one, an aggregator sends sums every [`AGGREGATE_INTERVAL_MS`]. At a lower pressure the
-//! interval grows with the inverse square of the pressure, up to [`IDLE_INTERVAL_MS`]. Members report at the interval of
-//! their aggregator, but at least every [`HEARTBEAT_MS`]. Between sums, an aggregator sends heartbeats without load. A
-//! report is valid for several intervals.
+//! interval grows with the inverse square of the pressure, up to [`IDLE_INTERVAL_MS`]. Members report at the interval
+//! of their aggregator, but at least every [`HEARTBEAT_MS`]. Between sums, an aggregator sends heartbeats without
+//! load. A report is valid for several intervals.
 //!
 //! **Inputs.** The pressure (`load_pressure` of `reedsail_dispatch`, in thousandths), and the interval that a sender
 //! names in its messages (in milliseconds; zero from the previous release, which reports its load at the shortest
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Returns the interval at which an aggregator sends its sum to the other aggregators, in milliseconds. The interval
-    /// grows with their number, so that the total traffic between aggregators grows linearly with their number and not
+    /// Returns the interval at which an aggregator sends its sum to the other aggregators, in milliseconds. It grows
+    /// with their number, so that the total traffic between aggregators grows linearly with their number and not
     /// with its square.
     pub(crate) fn inter_aggregator_interval_ms(self, others: usize) -> u64 {
         let interval_ms = self.load_interval_ms.max(INTER_AGGREGATOR_INTERVAL_MS);
--- a/crates/reedsail_gossip/src/exchange_timing.rs
+++ b/crates/reedsail_gossip/src/exchange_timing.rs
@@ -17,8 +17,8 @@
 pub const HEARTBEAT_MS: u64 = 200;
 /// Longest interval at which an instance of a fleet with aggregators checks for messages to send, in milliseconds.
 pub(crate) const IDLE_TICK_MS: u64 = 200;
-/// Interval at which an instance checks for messages to send in a fleet without aggregators, in milliseconds: half of the
-/// interval of direct messages.
+/// Interval at which an instance checks for messages to send in a fleet without aggregators, in milliseconds. It is
+/// half of the interval of direct messages.
 pub(crate) const DIRECT_TICK_MS: u64 = 50;
 /// Shortest silence after which an aggregator is skipped, in milliseconds: twelve messages at the shortest interval.
 pub(crate) const AGGREGATOR_TIMEOUT_MIN_MS: u64 = 300;
--- a/crates/reedsail_gossip/src/fleet_view.rs
+++ b/crates/reedsail_gossip/src/fleet_view.rs
@@ -70,7 +70,7 @@
         self.recent_sum(now).map(|sum| sum.instances as usize)
     }
 
-    /// Returns the number of instances of the own failure domain from the last sum; zero without a recent sum.
+    /// Returns the number of instances of this instance's failure domain from the last sum; zero without a recent sum.
     pub(crate) fn domain_instances(&self, now: TimeMs) -> usize {
         self.recent_sum(now).map_or(0, |sum| sum.domain_instances as usize)
     }
--- a/crates/reedsail_gossip/src/known_aggregators.rs
+++ b/crates/reedsail_gossip/src/known_aggregators.rs
@@ -1,8 +1,8 @@
 //! Choice of the other aggregators that an aggregator sends its sum to.
 //!
 //! **Rule.** An aggregator sends its sum to the aggregators whose sums arrive, and to the instances that rank as
-//! aggregators of their failure domain. If no sum arrives from a failure domain, it also tries the next ranks there, and
-//! one further rank in each search round.
+//! aggregators of their failure domain. If no sum arrives from a failure domain, it also tries the next ranks there,
+//! and one further rank in each search round.
 //!
 //! **Why.** After the loss of many instances, all of the best ranks that an aggregator knows may be gone. The
 //! instances that took over search in the same way.
@@ -12,8 +12,8 @@
 
 use reedsail_core::NameHash;
 
-/// Number of ranks of a failure domain that a sum is sent to while no sum arrives from there. With half of the instances
-/// gone, none of these ranks is left in one of eight failure domains.
+/// Number of ranks of a failure domain that a sum is sent to while no sum arrives from there. If half of the instances
+/// are lost, all of these ranks are lost in one of eight failure domains.
 const SEARCHED_RANKS: usize = 3;
 
 /// The other aggregators, and the instances that may aggregate, as an aggregator knows them.
@@ -21,12 +21,12 @@
 pub(crate) struct KnownAggregators {
     /// The failure domains and addresses of the aggregators whose sums arrive.
     pub(crate) active: Vec<(NameHash, SocketAddrV4)>,
-    /// The instances that may aggregate, by failure domain, best rank first. Of the own failure domain, only instances
-    /// that rank before this one are included.
+    /// The instances that may aggregate, by failure domain, best rank first. Of this instance's failure
+    /// domain, only instances that rank before this one are included.
     pub(crate) ranked: HashMap<NameHash, Vec<SocketAddrV4>>,
     /// The failure domain of this instance.
     pub(crate) own_domain: NameHash,
-    /// The number of aggregators of a failure domain that has the size of the own one.
+    /// The number of aggregators of a failure domain of the same size as this instance's.
     pub(crate) aggregators_per_domain: usize,
 }
 
@@ -45,7 +45,8 @@
     }
 
     fn targets_in(&self, domain: NameHash, ranked: &[SocketAddrV4], search_round: usize) -> Vec<SocketAddrV4> {
-        let is_connected = domain == self.own_domain || self.active.iter().any(|(active_domain, _)| *active_domain == domain);
+        let is_connected =
+            domain == self.own_domain || self.active.iter().any(|(active_domain, _)| *active_domain == domain);
         if is_connected {
             return ranked.iter().take(self.aggregators_per_domain).copied().collect();
         }
--- a/crates/reedsail_gossip/src/lib.rs
+++ b/crates/reedsail_gossip/src/lib.rs
@@ -17,7 +17,6 @@
 mod exchange_pace;
 mod exchange_timing;
 mod fleet_view;
-mod urgent_fields;
 mod known_aggregators;
 mod load_exchange;
 mod load_sum;
@@ -26,6 +25,7 @@
 mod peer_table;
 mod prefix_relay;
 mod sent_reports;
+mod urgent_fields;
 
 pub use exchange_messages::DomainPosition;
 pub use exchange_messages::InstanceIdentity;
--- a/crates/reedsail_gossip/src/load_exchange/mod.rs
+++ b/crates/reedsail_gossip/src/load_exchange/mod.rs
@@ -1,7 +1,7 @@
 //! The load exchange: processing of received messages (`receive`), and choice of the messages to send (`send`).
 //!
-//! Owns membership, the role of this instance (member or aggregator), and the set of load sources that count, so that no
-//! instance's load counts twice for longer than a message takes. Relies on the caller for the time, for sending, and
+//! Owns membership, the role of this instance (member or aggregator), and the set of load sources that count, so that
+//! no instance's load counts twice for longer than a message takes. Relies on the caller for the time, for sending, and
 //! for this instance's own load.
 
 mod receive;
@@ -28,8 +28,8 @@
 use crate::exchange_timing::DIRECT_INSTANCES_MAX;
 use crate::exchange_timing::DIRECT_TICK_MS;
 use crate::fleet_view::FleetView;
-use crate::urgent_fields::UrgentFields;
 use crate::member_reports::MemberReports;
+use crate::urgent_fields::UrgentFields;
 
 /// The protocol number of this release.
 const PROTOCOL: u8 = 2;
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Source {
     scope: LoadScope,
-    /// The source's protocol number; zero for an instance that does not support aggregators, whose load no sum includes.
+    /// The source's protocol number; zero if the source does not support aggregators, so that no sum includes its load.
     protocol: u8,
 }
 
@@ -164,8 +164,8 @@
         self.is_aggregated(now).then_some(age_ms)
     }
 
-    /// Returns all known instances, including this one, each with its failure domain. Silent instances are included until
-    /// the peer table removes them.
+    /// Returns all known instances, including this one, each with its failure domain. Silent instances are included
+    /// until the peer table removes them.
     pub fn members(&self) -> Vec<(NameHash, NameHash)> {
         let own = (self.identity.instance, self.identity.failure_domain);
         let mut members: Vec<(NameHash, NameHash)> = self.peers.members().chain([own]).collect();
--- a/crates/reedsail_gossip/src/load_exchange/receive.rs
+++ b/crates/reedsail_gossip/src/load_exchange/receive.rs
@@ -50,8 +50,9 @@
 
     /// Returns whether the sender needs a message that names other instances.
     ///
-    /// A new sender does. In a fleet with aggregators, so does a sender of a direct message, which knows no aggregator or
-    /// searches for further ones. The introduction itself names the fleet size, so it gets no introduction in return.
+    /// A new sender does. In a fleet with aggregators, so does a sender of a direct message, which knows no aggregator
+    /// or searches for further ones. The introduction itself names the fleet size, so it gets no introduction in
+    /// return.
     fn needs_introduction(&self, message: &LoadMessage, arrival: Arrival, now: TimeMs) -> bool {
         let is_searching = message.protocol > 0 && message.instances == 0 && self.is_aggregated(now);
         message.scope == LoadScope::Instance && (arrival == Arrival::FromNew || is_searching)
--- a/crates/reedsail_gossip/src/load_exchange/send.rs
+++ b/crates/reedsail_gossip/src/load_exchange/send.rs
@@ -19,12 +19,12 @@
 use crate::Peer;
 use crate::aggregator_choice::aggregator_count;
 use crate::exchange_timing::HEARTBEAT_MS;
-use crate::urgent_fields::UrgentFields;
 use crate::known_aggregators::KnownAggregators;
 use crate::member_reports::SummedLoad;
+use crate::urgent_fields::UrgentFields;
 
-/// Maximum number of servers, and of workspaces, in a sum for other aggregators. With its other rows, the sum still fits
-/// a datagram.
+/// Maximum number of servers, and of workspaces, in a sum for other aggregators. With its other rows, the sum still
+/// fits a datagram.
 const AGGREGATE_ROWS_MAX: usize = 1_024;
 /// Maximum number of servers, and of workspaces, in a sum for members. The least loaded are left out, and members treat
 /// them as idle.
@@ -68,8 +68,8 @@
         outgoing
     }
 
-    /// Returns the pace for a pressure. It is the shortest while a peer of the previous release is alive, which supports no
-    /// other.
+    /// Returns the pace for a pressure. It is the shortest while a peer of the previous release is alive, which does
+    /// not support another.
     fn pace_for(&self, pressure_milli: u32) -> ExchangePace {
         let requires_shortest_pace = |peer: &Peer| peer.protocol > 0 && peer.protocol < PACED_PROTOCOL;
         if self.peers.alive().any(requires_shortest_pace) {
@@ -94,8 +94,8 @@
         outgoing
     }
 
-    /// Sends the own load to all peers. With `is_aggregated`, only to peers that do not support aggregators, and to the
-    /// seeds while no sum arrives or if this instance is an aggregator.
+    /// Sends this instance's load to all peers. With `is_aggregated`, only to peers that do not support aggregators,
+    /// and to the seeds while no sum arrives or if this instance is an aggregator.
     fn send_direct(
         &mut self,
         header: &MessageHeader,
@@ -121,7 +121,7 @@
         outgoing.push(Outgoing { message, targets });
     }
 
-    /// Sends the own load to the aggregator, or sums to members and other aggregators.
+    /// Sends this instance's load to the aggregator, or sums to members and other aggregators.
     fn send_aggregated(
         &mut self,
         header: &MessageHeader,
@@ -261,7 +261,8 @@
         known.targets(self.search_rounds)
     }
 
-    /// Returns the number of aggregators of the own failure domain, which serves as an estimate for the others.
+    /// Returns the number of aggregators of this instance's failure domain, which is used as an estimate for the
+    /// others.
     fn domain_aggregator_count(&self, now: TimeMs) -> usize {
         let ranks = self.peers.ranks_in(self.identity.failure_domain, now);
         let best = ranks.chain([self.own_rank()]).min();
--- a/crates/reedsail_gossip/src/load_sum.rs
+++ b/crates/reedsail_gossip/src/load_sum.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Adds a row of a suspected request. Rows with server ends merge into a set of servers. If one row has ends and the
-    /// other an answer, the newer row counts.
+    /// Adds a row of a suspected request. Rows with server ends merge into a set of servers. If one row has ends and
+    /// the other has an answer, the newer row counts.
     fn add_suspect(&mut self, row: &SuspectRow) {
         let Some(known) = self.suspects.get_mut(&row.fingerprint) else {
             self.suspects.insert(row.fingerprint, row.clone());
--- a/crates/reedsail_gossip/src/member_reports.rs
+++ b/crates/reedsail_gossip/src/member_reports.rs
@@ -84,7 +84,8 @@
         self.aggregates.remove(&message.instance);
     }
 
-    /// Stores another aggregator's sum. A member whose newer report the sum includes becomes a member of that aggregator.
+    /// Stores another aggregator's sum. A member whose newer report the sum includes is
+    /// now a member of that aggregator.
     pub(crate) fn receive_aggregate(&mut self, message: &LoadMessage, from: SocketAddrV4, now: TimeMs) {
         for row in &message.included {
             let current = self.members.get(&row.instance);
--- a/crates/reedsail_gossip/src/peer_table.rs
+++ b/crates/reedsail_gossip/src/peer_table.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Replaces the seeds, and sends the next message to them.
+    /// Replaces the seeds, and makes them due for the next message.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
         self.seeds_sent_at = None;
@@ -255,7 +255,7 @@
     }
 
     /// Returns the addresses of the peers that may aggregate, by failure domain, in order of rank. Those not seen
-    /// recently come last. Of the own failure domain, only peers that rank before this instance are included.
+    /// recently come last. Of `own_domain`, only peers that rank before `own_rank` are included.
     pub(crate) fn ranked_by_domain(
         &self,
         own_domain: NameHash,
--- a/crates/reedsail_gossip/tests/simulated_network/mod.rs
+++ b/crates/reedsail_gossip/tests/simulated_network/mod.rs
@@ -455,7 +455,9 @@
         let (from_domain, to_domain) = (self.instances[from].domain, self.instances[to].domain);
         let crosses_partition = from_domain != to_domain
             && (self.partitioned_domains.contains(&from_domain) || self.partitioned_domains.contains(&to_domain));
-        let is_partitioned = crosses_partition || self.partitioned_instances.contains(&from) || self.partitioned_instances.contains(&to);
+        let is_partitioned = crosses_partition
+            || self.partitioned_instances.contains(&from)
+            || self.partitioned_instances.contains(&to);
         if is_partitioned || self.random.random_bool(self.links.loss) {
             return;
         }
