--- a/crates/reedsail_dispatch/src/admission.rs
+++ b/crates/reedsail_dispatch/src/admission.rs
@@ -1,22 +1,24 @@
-//! Admission: whether a request is sent to the server that placement chose, or refused at once.
+//! Admission control: whether a request is sent to the server that placement chose, or refused immediately.
 //!
 //! **Rule.** A request is sent if its first event is expected within [`TARGET_FRACTION`] of its latency
-//! target, or if others keep its server busy for less than [`QUEUE_TARGET_FRACTION`] of it. One of a workspace that
-//! is starved is sent as long as it is expected within [`STARVED_TARGETS`] targets. It is refused with a
-//! retry-after otherwise; where every server has asked for time, with the time until one of them takes requests
-//! again. A workspace over its fair share is refused as well where the server is busy with other requests for more than
-//! [`OVER_SHARE_TARGET_FRACTION`] of the target. How many prompts of one that wants more than its share are sent while
-//! queues are short is the rule of `pacing`.
+//! target, or if other requests occupy its server for less than [`QUEUE_TARGET_FRACTION`] of the target. A
+//! request of a starved workspace is sent if its first event is expected within [`STARVED_TARGETS`] targets.
+//! Any other request is refused with a retry-after. If every server has requested a back-off, the retry-after
+//! is the time until one of them accepts requests again. A request of a workspace over its fair share is also
+//! refused if other requests occupy the server for more than [`OVER_SHARE_TARGET_FRACTION`] of the target.
+//! While queues are short, `pacing` limits how many prompts are sent for a workspace that requests more than
+//! its share.
 //!
-//! **Inputs.** The request's latency target and time waited so far, the placement's expected time and
-//! queue, all in milliseconds; whether the workspace is over its share (`fair_share`).
+//! **Inputs.** The request's latency target and the time it has waited so far, the placement's expected time
+//! and queue, all in milliseconds; whether the workspace is over its share (`fair_share`).
 //!
-//! **Why.** A request that would miss its target delays the ones behind it, and its caller does better
-//! by coming back later. One that is late by its own length or by a slow server gains nothing by coming
-//! back, so it is sent; that also keeps a service that was slow from closing for good, since every answer
-//! is measured. A small workspace gets nothing behind the queues of a few floods if all its requests are refused as
-//! late: a late answer serves it better, and what it adds to the queues is little. Refusing workspaces over their share only where others' prompts wait leaves spare
-//! capacity usable.
+//! **Why.** A request that would miss its target delays the requests behind it, and its caller is served
+//! sooner by a later retry. A request that is late because of its own length or a slow server gains nothing
+//! from a retry, so it is sent. This also keeps a service that was slow from being refused forever, because
+//! every answer updates the estimate. If all late requests of a small workspace were refused, it would get
+//! nothing behind the queues of a few floods. A late answer serves it better, and its requests add little to
+//! the queues. Workspaces over their share are refused only where prompts of other workspaces wait, so spare
+//! capacity stays usable.
 //!
 //! **Tested by** `tests/placement.rs`, `tests/shares.rs`, `tests/flood.rs`.
 
@@ -31,26 +33,27 @@
 
 /// Fraction of the latency target within which the first event must be expected.
 pub(crate) const TARGET_FRACTION: f64 = 0.8;
-/// Fraction of the latency target for which a server may be busy with other requests when a workspace over
-/// its share asks.
+/// Fraction of the latency target for which a server may be busy with other requests and still be sent a
+/// request of a workspace over its share.
 pub(crate) const OVER_SHARE_TARGET_FRACTION: f64 = 0.05;
-/// Fraction of the latency target for which others may keep a server busy when a request that would be
-/// late all the same is sent there.
+/// Fraction of the latency target for which a server may be busy with other requests and still be sent a
+/// request that would miss its target anyway.
 const QUEUE_TARGET_FRACTION: f64 = 0.2;
-/// Latency targets within which the first event of a starved workspace's request must be expected.
+/// Number of latency targets within which the first event of a starved workspace's request must be expected.
 const STARVED_TARGETS: f64 = 6.0;
-/// Least retry-after of a refusal, in milliseconds.
+/// Shortest retry-after of a refusal, in milliseconds.
 const RETRY_AFTER_MIN_MS: u64 = 100;
 /// Longest retry-after, as a fraction of the latency target.
 const RETRY_AFTER_TARGET_FRACTION: f64 = 0.6;
-/// Span over which callers return that were refused until servers take requests again, in milliseconds: these return
-/// one by one.
-const RETURN_SPREAD_MS: u64 = 500;
-/// Nothing is sent once less than one part in this many of the caller's time is left.
+/// Span over which retries are spread after all servers requested a back-off, in milliseconds: the servers
+/// leave their back-off one by one.
+const RETRY_SPREAD_MS: u64 = 500;
+/// No attempt starts once less than one part in this many of the request's total time is left.
 const TIME_LEFT_MIN_DIVISOR: u64 = 10;
 
-/// Refuses a request that placement found no server for. Where servers asked for time, or are being returned to, the
-/// caller is told when one of them may take it: to come back earlier would be in vain.
+/// Refuses a request that placement found no server for. If servers requested a back-off or are resuming
+/// after one, the retry-after is the time until one of them may take the request: an earlier retry would
+/// fail.
 pub(crate) fn refuse_unplaced(demand: &Demand<'_>, returns_at: Option<TimeMs>, now: TimeMs) -> Decision {
     let Some(returns_at) = returns_at else {
         return Decision::Refuse {
@@ -59,7 +62,7 @@
             placement: None,
         };
     };
-    let spread = |fingerprint: Fingerprint| fingerprint.0 % u128::from(RETURN_SPREAD_MS);
+    let spread = |fingerprint: Fingerprint| fingerprint.0 % u128::from(RETRY_SPREAD_MS);
     let spread_ms = demand.fingerprint.map_or(0, spread) as u64;
     let after_ms = returns_at.since_ms(now) + spread_ms;
     Decision::Refuse {
@@ -69,7 +72,7 @@
     }
 }
 
-/// Decides about a request that placement found a server for.
+/// Decides whether to send a request that placement found a server for.
 pub(crate) fn admit(
     demand: &Demand<'_>,
     placement: Placement,
@@ -82,14 +85,14 @@
         return Decision::Send(placement);
     }
     let share = share();
-    let is_behind_others = share.is_over();
-    let is_late_by_itself = placement.queue_ms as f64 <= target_ms * QUEUE_TARGET_FRACTION;
+    let is_over_share = share.is_over();
+    let is_queue_short = placement.queue_ms as f64 <= target_ms * QUEUE_TARGET_FRACTION;
     let is_starved = share.is_starved() && placement.expected_ms as f64 <= STARVED_TARGETS * target_ms;
-    if (excess_ms <= 0.0 || is_late_by_itself || is_starved) && !is_behind_others {
+    if (excess_ms <= 0.0 || is_queue_short || is_starved) && !is_over_share {
         return Decision::Send(placement);
     }
     Decision::Refuse {
-        kind: if is_behind_others {
+        kind: if is_over_share {
             ErrorKind::OverShare
         } else {
             ErrorKind::WouldMissTarget
@@ -99,8 +102,8 @@
     }
 }
 
-/// Refuses a prompt that pacing holds back: its workspace's allowance grows all the time, so the caller may come
-/// back soon.
+/// Refuses a prompt that exceeds its workspace's pacing rate. The workspace's token bucket refills
+/// continuously, so the retry-after is short.
 pub(crate) fn refuse_paced(demand: &Demand<'_>, placement: &Placement) -> Decision {
     Decision::Refuse {
         kind: ErrorKind::OverShare,
@@ -109,16 +112,16 @@
     }
 }
 
-/// Returns the time left until a request's deadline, in milliseconds; `None` if an attempt is not worth
-/// it any more.
+/// Returns the time left until a request's deadline, in milliseconds, or `None` if too little is left for
+/// another attempt.
 pub fn time_left_ms(arrived_at: TimeMs, deadline: TimeMs, now: TimeMs) -> Option<u64> {
     let left_ms = deadline.since_ms(now);
-    let whole_ms = deadline.since_ms(arrived_at);
-    (left_ms > 0 && left_ms * TIME_LEFT_MIN_DIVISOR >= whole_ms).then_some(left_ms)
+    let total_ms = deadline.since_ms(arrived_at);
+    (left_ms > 0 && left_ms * TIME_LEFT_MIN_DIVISOR >= total_ms).then_some(left_ms)
 }
 
-/// Returns when a refused request is to come back: once the excess is worked off, within bounds.
+/// Returns the retry-after of a refused request: the time in which the excess is worked off, within bounds.
 fn retry_after_ms(latency_target_ms: u64, excess_ms: f64) -> u64 {
-    let most_ms = (latency_target_ms as f64 * RETRY_AFTER_TARGET_FRACTION) as u64;
-    (excess_ms as u64).clamp(RETRY_AFTER_MIN_MS, most_ms.max(RETRY_AFTER_MIN_MS))
+    let max_ms = (latency_target_ms as f64 * RETRY_AFTER_TARGET_FRACTION) as u64;
+    (excess_ms as u64).clamp(RETRY_AFTER_MIN_MS, max_ms.max(RETRY_AFTER_MIN_MS))
 }
--- a/crates/reedsail_dispatch/src/allowed_regions.rs
+++ b/crates/reedsail_dispatch/src/allowed_regions.rs
@@ -1,9 +1,10 @@
 //! Allowed regions: where a request may run, and where its prompt may be cached.
 //!
-//! **Rule.** A route and a workspace may each name regions; where both do, a request runs in those that both name.
-//! A server whose region is not known is in none of them.
+//! **Rule.** A route and a workspace may each list allowed regions. If both do, a request runs only in
+//! regions that are in both lists. A server whose region is unknown is in no region.
 //!
-//! **Why.** Operators bind data to regions by law or contract: no load, failure or cut is a reason to leave them.
+//! **Why.** Operators bind data to regions by law or contract, so no load, failure or network partition is a
+//! reason to leave them.
 //!
 //! **Tested by** `tests/allowed_regions.rs`.
 
@@ -12,22 +13,22 @@
 /// The regions in which a request may run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum AllowedRegions {
-    /// All, known or not.
+    /// All regions, including unknown ones.
     #[default]
     Any,
-    /// These alone; none of them if there is none.
+    /// Only the listed regions. An empty list allows no region.
     Only(Vec<NameHash>),
 }
 
 impl AllowedRegions {
-    /// Reads what the operators named; `None` if they named nothing.
+    /// Makes the allowed regions from a configured list; `None` means that no list is configured.
     pub fn named<Name: AsRef<str>>(names: Option<&[Name]>) -> Self {
         names.map_or(Self::Any, |names| {
             Self::Only(names.iter().map(|name| NameHash::of(name.as_ref())).collect())
         })
     }
 
-    /// Returns the regions that both allow.
+    /// Returns the regions that both `self` and `other` allow.
     #[must_use]
     pub fn meet(&self, other: &Self) -> Self {
         match (self, other) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Tells whether a request may run in a region; `None` is one that is not known.
+    /// Returns whether a request may run in a region; `None` is an unknown region.
     pub fn allows(&self, region: Option<NameHash>) -> bool {
         match self {
             Self::Any => true,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Tells whether a request may run nowhere.
+    /// Returns whether no region is allowed.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Only(regions) if regions.is_empty())
     }
--- a/crates/reedsail_dispatch/src/attempt.rs
+++ b/crates/reedsail_dispatch/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Attempts: requests on their way through a backend server, and which of them are overdue.
+//! Attempts: requests that were sent to a backend server, and which of them are overdue.
 //!
-//! Owns the deadlines of attempts without a first event; `server_health` says when those are.
+//! Owns the deadlines of attempts without a first event. `server_health` computes these deadlines.
 
 use std::collections::HashMap;
 
@@ -15,28 +15,29 @@
 use crate::server_backoff::WindowPlace;
 use crate::server_health::overdue_at;
 
-/// A request that was sent to a server; handed back to the dispatcher when it ends.
+/// A request that was sent to a server. The caller returns it to the dispatcher when it ends.
 #[derive(Debug)]
 pub struct Attempt {
     number: u64,
     pub(crate) server: ServerKey,
     pub(crate) service: NameHash,
     pub(crate) fingerprint: Option<Fingerprint>,
-    /// The workspace that it was charged to, and what it costs in tokens.
+    /// The workspace that the request is charged to.
     pub(crate) workspace: NameHash,
+    /// The cost in tokens.
     pub(crate) cost: f64,
-    /// Rounds of requests that the server's slots needed when it began, itself included.
+    /// Rounds of requests that the server's slots needed when the attempt began, this attempt included.
     pub(crate) rounds: f64,
     pub(crate) prefill_tokens: u32,
-    /// What the engine had to do when it began.
+    /// Work of the engine when the attempt began.
     pub(crate) work: EngineWork,
-    /// Expected wait for anything but prefill, in milliseconds.
+    /// Expected wait other than prefill, in milliseconds: for a transfer or a slot.
     pub(crate) other_wait_ms: u64,
     pub(crate) expected_ms: u64,
     pub(crate) began_at: TimeMs,
     pub(crate) has_answered: bool,
     pub(crate) has_prompt: bool,
-    /// Its place in the window of a server that is being returned to, until it is answered.
+    /// Its place in the request window of a server that resumes after a back-off, until it is answered.
     pub(crate) window_place: Option<WindowPlace>,
     is_written: bool,
 }
@@ -47,12 +48,12 @@
         self.server
     }
 
-    /// Records whether the server may have the request by now, or is known not to have it.
+    /// Records whether the server may have received the request.
     pub fn set_written(&mut self, is_written: bool) {
         self.is_written = is_written;
     }
 
-    /// Tells whether the server may have worked on the request, given how the attempt ended.
+    /// Returns whether the server may have worked on the request, given how the attempt ended.
     pub(crate) fn may_have_run(&self, outcome: AttemptOutcome) -> bool {
         match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Failed | AttemptOutcome::Broken => true,
@@ -64,35 +65,35 @@
     }
 }
 
-/// What became of an attempt, as far as it speaks of the server.
+/// Outcome of an attempt, as evidence of the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The server answered whole and well.
+    /// The server answered completely and without a failure.
     Answered,
-    /// The server answered with a failure, or answered wrongly.
+    /// The server answered with a failure or with an invalid answer.
     Failed,
     /// The connection broke after the request was sent: the server may have ended.
     Broken,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     Rejected,
-    /// The server could not be connected to; no byte was sent. The reason may be this instance, or that the
-    /// server has too many connections.
+    /// Connecting to the server failed, and no byte was sent. The cause may be this instance, or too many
+    /// connections to the server.
     Unreachable,
-    /// Nothing answers at the server's address: its process has ended, and may start again.
+    /// Nothing listens at the server's address: its process has ended and may start again.
     Down,
-    /// The caller left, or its time was over.
+    /// The caller disconnected, or its deadline passed.
     Abandoned,
 }
 
-/// Attempts whose answer has not begun, with the moment from which each is overdue.
+/// Attempts whose answer has not begun, with the time from which each is overdue.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnansweredAttempts {
     deadlines: HashMap<u64, (ServerKey, TimeMs)>,
-    begun: u64,
+    last_number: u64,
 }
 
 impl UnansweredAttempts {
-    /// Begins an attempt.
+    /// Begins an attempt and sets its deadline.
     pub(crate) fn begin(
         &mut self,
         demand: &Demand<'_>,
@@ -100,11 +101,11 @@
         rounds: f64,
         now: TimeMs,
     ) -> Attempt {
-        self.begun += 1;
+        self.last_number += 1;
         let deadline = overdue_at(placement.expected_ms, now);
-        self.deadlines.insert(self.begun, (placement.server, deadline));
+        self.deadlines.insert(self.last_number, (placement.server, deadline));
         Attempt {
-            number: self.begun,
+            number: self.last_number,
             server: placement.server,
             service: demand.service,
             fingerprint: demand.fingerprint,
@@ -123,12 +124,12 @@
         }
     }
 
-    /// Forgets an attempt that has answered or ended.
+    /// Removes an attempt that was answered or has ended.
     pub(crate) fn remove(&mut self, attempt: &Attempt) {
         self.deadlines.remove(&attempt.number);
     }
 
-    /// Takes out the attempts that are overdue; returns the server of each.
+    /// Removes the overdue attempts and returns the server of each.
     pub(crate) fn take_overdue(&mut self, now: TimeMs) -> Vec<ServerKey> {
         let mut servers = Vec::new();
         self.deadlines.retain(|_, (server, deadline)| {
--- a/crates/reedsail_dispatch/src/decaying_sum.rs
+++ b/crates/reedsail_dispatch/src/decaying_sum.rs
@@ -1,34 +1,33 @@
-//! Decaying sum: an amount in which each contribution counts for ever less as time passes.
+//! Decaying sum: a sum whose contributions decay exponentially over time.
 //!
-//! Used by `fair_share` for what workspaces lately wanted and were sent: a flood shows in it within a few
-//! tenths of a second, while the window of the shares is ten times as long. Pure, relies on the caller for
-//! the time.
+//! `fair_share` uses it for the recent prefill tokens and sent cost of workspaces. A flood shows in such a
+//! sum within a few tenths of a second, while the window of the shares is ten times as long. Pure: the caller
+//! passes the time.
 
 use reedsail_core::TimeMs;
 
-/// A sum whose contributions have decayed to 1/e after `TIME_CONSTANT_MS` milliseconds.
+/// A sum in which a contribution decays to 1/e of its amount within `TIME_CONSTANT_MS` milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingSum<const TIME_CONSTANT_MS: u64> {
     amount: f64,
-    at: TimeMs,
+    updated_at: TimeMs,
 }
 
 impl<const TIME_CONSTANT_MS: u64> DecayingSum<TIME_CONSTANT_MS> {
-    /// Adds an amount.
     pub(crate) fn add(&mut self, amount: f64, now: TimeMs) {
-        self.amount = self.at(now) + amount;
-        self.at = now;
+        self.amount = self.value_at(now) + amount;
+        self.updated_at = now;
     }
 
-    /// Takes away what was added at an earlier moment, as far as it still counts.
-    pub(crate) fn take_back(&mut self, amount: f64, added_at: TimeMs) {
-        let counts_still = amount * decay(self.at.since_ms(added_at), TIME_CONSTANT_MS);
-        self.amount = (self.amount - counts_still).max(0.0);
+    /// Subtracts the remainder of an amount that was added at an earlier time.
+    pub(crate) fn subtract(&mut self, amount: f64, added_at: TimeMs) {
+        let remaining = amount * decay(self.updated_at.since_ms(added_at), TIME_CONSTANT_MS);
+        self.amount = (self.amount - remaining).max(0.0);
     }
 
-    /// Returns what counts at a moment.
-    pub(crate) fn at(self, now: TimeMs) -> f64 {
-        self.amount * decay(now.since_ms(self.at), TIME_CONSTANT_MS)
+    /// Returns the decayed sum at a given time.
+    pub(crate) fn value_at(self, now: TimeMs) -> f64 {
+        self.amount * decay(now.since_ms(self.updated_at), TIME_CONSTANT_MS)
     }
 }
 
--- a/crates/reedsail_dispatch/src/demand.rs
+++ b/crates/reedsail_dispatch/src/demand.rs
@@ -1,4 +1,4 @@
-//! The request as the decisions see it, and what is decided about it.
+//! The request as the decisions see it, and the decision about it.
 
 use reedsail_core::ErrorKind;
 use reedsail_core::Fingerprint;
@@ -8,31 +8,32 @@
 use crate::AllowedRegions;
 use crate::EngineWork;
 
-/// Cost of a generated token beside a prefilled one, as the users charge it.
+/// Cost of a generated token in prefilled tokens, as users are charged for it.
 const OUTPUT_TOKEN_COST: f64 = 2.0;
 /// Cost of a request without a prompt, in tokens.
 const PLAIN_COST: f64 = 1.0;
 
-/// A segment of a prompt; requests that begin with the same segments share what a server has cached.
+/// A segment of a prompt. Requests that begin with the same segments share the segments that a server has
+/// cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Its id.
+    /// Id of the segment's content.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
 /// A prompt, as the caller describes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its segments in order; the last belongs to this request alone.
+    /// Segments in order. The last one belongs to this request alone.
     pub segments: Vec<PromptSegment>,
-    /// The most tokens that the answer may have.
+    /// Maximum number of tokens in the answer.
     pub output_tokens: u32,
 }
 
 impl Prompt {
-    /// Returns the length of the whole prompt in tokens.
+    /// Returns the total length of the prompt in tokens.
     pub fn tokens(&self) -> u32 {
         self.segments.iter().map(|segment| segment.tokens).sum()
     }
@@ -42,7 +43,7 @@
         self.segments.last().map_or(0, |segment| segment.tokens)
     }
 
-    /// Returns the last segment that other requests share, by which the prompt finds its servers.
+    /// Returns the last segment that other requests share. Placement hashes this segment to choose servers.
     pub fn last_shared(&self) -> Option<PromptSegment> {
         match self.segments.as_slice() {
             [] => None,
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Returns the segments that other requests share: all but the last, or the only one.
+    /// Returns the segments that other requests share: all but the last, or the only one if there is just
+    /// one.
     pub fn shared_segments(&self) -> &[PromptSegment] {
         match self.segments.as_slice() {
             [] | [_] => &self.segments,
@@ -59,41 +61,41 @@
         }
     }
 
-    /// Returns the cost in tokens, a generated token counted twice.
+    /// Returns the cost in tokens. A generated token counts twice.
     pub fn cost(&self) -> f64 {
         f64::from(self.tokens()) + OUTPUT_TOKEN_COST * f64::from(self.output_tokens)
     }
 }
 
-/// Returns the cost in tokens of a request with or without a prompt, by which shares are judged.
+/// Returns the cost in tokens of a request with or without a prompt. Fair shares are computed from this cost.
 pub fn request_cost(prompt: Option<&Prompt>) -> f64 {
     prompt.map_or(PLAIN_COST, Prompt::cost)
 }
 
-/// A request that wants a server.
+/// A request for which a server is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// The service that it calls.
+    /// The called service.
     pub service: NameHash,
-    /// The workspace that it counts against.
+    /// The workspace that the request is charged to.
     pub workspace: NameHash,
-    /// Its prompt, for a service of model engines.
+    /// The prompt, if the service runs model engines.
     pub prompt: Option<&'a Prompt>,
-    /// Time to the first event that the route aims at, in milliseconds from the request's arrival.
+    /// The route's target for the time to first event, in milliseconds from the request's arrival.
     pub latency_target_ms: u64,
-    /// How long ago it arrived, in milliseconds.
+    /// Time since the request's arrival, in milliseconds.
     pub waited_ms: u64,
-    /// Servers that were tried already.
+    /// Servers that earlier attempts of this request were sent to.
     pub tried: &'a [ServerKey],
-    /// Where it may run.
+    /// Regions in which the request may run.
     pub regions: &'a AllowedRegions,
-    /// By what its returns are known; `None` for one that is not told from others.
+    /// Fingerprint that identifies later retries of the same request; `None` if retries can't be identified.
     pub fingerprint: Option<Fingerprint>,
 }
 
 impl<'a> Demand<'a> {
-    /// Returns the request of a stream that has begun and goes on elsewhere: its latency target is met or
-    /// missed already, so only the route's time-out bounds where it may go on.
+    /// Returns the request that resumes a broken stream on another server. Its latency target was already met
+    /// or missed, so only the route's timeout limits which servers it may use.
     #[must_use]
     pub fn resumed(self, timeout_ms: u64) -> Self {
         Self {
@@ -103,50 +105,51 @@
         }
     }
 
-    /// Returns the cost in tokens.
+    /// Returns the cost of the request in tokens.
     pub(crate) fn cost(&self) -> f64 {
         request_cost(self.prompt)
     }
 
-    /// Returns the prompt, if it has segments: only such a request needs an engine's prefill.
+    /// Returns the prompt if it has segments. Only such a request needs prefill by an engine.
     pub(crate) fn engine_prompt(&self) -> Option<&'a Prompt> {
         self.prompt.filter(|prompt| !prompt.segments.is_empty())
     }
 }
 
-/// Where a request is to go.
+/// The server chosen for a request, with the estimates behind the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Placement {
     /// The backend server.
     pub server: ServerKey,
-    /// The server from which the chosen one is to transfer the cached segments that it lacks.
+    /// The server from which the chosen one transfers the cached segments that it lacks.
     pub cache_source: Option<ServerKey>,
     /// Prompt tokens that the server is expected to prefill itself.
     pub prefill_tokens: u32,
-    /// What the server has to do if it is an engine, by which its answer is compared with others.
+    /// Work of the server if it is an engine. The first-event model learns from this work and the measured
+    /// time.
     pub work: EngineWork,
-    /// Expected wait for anything but prefill, in milliseconds: a transfer, a slot.
+    /// Expected wait other than prefill, in milliseconds: for a transfer or a slot.
     pub other_wait_ms: u64,
     /// Expected time to the first event, in milliseconds.
     pub expected_ms: u64,
-    /// How much of that the server is busy with other requests, in milliseconds.
+    /// Part of the expected time for which the server is busy with other requests, in milliseconds.
     pub queue_ms: u64,
 }
 
-/// What is decided about a request.
+/// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// It is sent now.
+    /// Send the request now.
     Send(Placement),
-    /// It is not sent any more: servers end under it.
+    /// Don't send the request: it is quarantined because servers ended while running it.
     Quarantined,
-    /// It is refused without having run.
+    /// Refuse the request without running it.
     Refuse {
-        /// Why.
+        /// Reason for the refusal.
         kind: ErrorKind,
-        /// When a retry is likely to be served, in milliseconds from now.
+        /// Time after which a retry is likely to be served, in milliseconds from now.
         retry_after_ms: u64,
-        /// Where it would have gone, if there was a server for it.
+        /// The placement that was refused, if there was a server for the request.
         placement: Option<Placement>,
     },
 }
--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -1,7 +1,7 @@
-//! The facade of all decisions about requests: it owns their state and has no rule of its own.
+//! The facade of all request decisions. It owns their state and has no rule of its own.
 //!
-//! Each method asks the modules whose rules it needs; the crate's page lists them. Relies on the
-//! caller for the time and for every outcome: nothing here waits or sends.
+//! Each method calls the modules whose rules it needs; the crate's documentation lists them. The caller
+//! passes the time and reports every outcome: nothing here waits or sends.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -47,7 +47,7 @@
 use crate::server_table::ServerTable;
 use crate::slow_start::Senders;
 
-/// Decides where requests go; one for each instance.
+/// Decides where requests go. Each instance has one.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatchSettings,
@@ -62,12 +62,12 @@
     retries: RetryBudgets,
     unanswered: UnansweredAttempts,
     broken: BrokenAttempts,
-    /// Ends of servers that were found and not taken yet.
+    /// Detected server ends that the caller has not taken yet.
     server_ends: Vec<ServerEnd>,
     quarantine: Quarantine,
-    /// How many instances the fleet has, where more are known than send reports.
+    /// Number of known instances, which may exceed the number of peers that send reports.
     instances: usize,
-    /// The learned speed of engines, by service.
+    /// Learned first-event models, by service.
     models: HashMap<NameHash, FirstEventModel>,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Sets the region of this instance; `None` if it is not known.
+    /// Sets the region of this instance; `None` if it is unknown.
     pub fn set_region(&mut self, region: Option<NameHash>) {
         self.own_region = region;
     }
@@ -106,68 +106,69 @@
         }
     }
 
-    /// Takes over servers that are new or have changed, and takes those that are gone off the list.
+    /// Adds or updates the servers in `setups` and removes those in `gone` from the list.
     pub fn update_servers(&mut self, setups: &[ServerSetup], gone: &[NameHash]) {
         if self.servers.update(setups, gone) {
             self.peers.recount(&mut self.servers);
         }
     }
 
-    /// Returns how soon peers must learn of load, from 0 (an idle fleet) to 1 (a busy one).
+    /// Returns how urgently peers need load reports, from 0 (idle fleet) to 1 (busy fleet).
     pub fn load_pressure(&self) -> f64 {
-        let of_peers = self.peers.servers();
-        let reported = of_peers.filter_map(|name| self.servers.key(name));
-        let active: HashSet<ServerKey> = reported.chain(self.servers.active()).collect();
+        let peer_servers = self.peers.servers();
+        let peer_keys = peer_servers.filter_map(|name| self.servers.key(name));
+        let active: HashSet<ServerKey> = peer_keys.chain(self.servers.active()).collect();
         pressure(&self.servers, active.into_iter())
     }
 
-    /// Replaces what the operators state of cold servers, by service.
+    /// Replaces the configured slow-start limits, by service.
     pub fn set_slow_starts(&mut self, limits: HashMap<NameHash, SlowStartLimit>) {
         self.servers.set_limits(limits);
     }
 
-    /// Replaces the failure domains whose servers get nothing new.
+    /// Replaces the set of evacuated failure domains. Their servers get no new work.
     pub fn set_evacuated(&mut self, failure_domains: &[NameHash], now: TimeMs) {
         self.servers.set_evacuated(failure_domains, now);
     }
 
     /// Sets this instance's name and the known instances, this one included, each with its failure domain.
-    /// Until then this instance sends nothing to cold servers.
+    /// Until the first call this instance sends nothing to cold servers.
     pub fn set_members(&mut self, own: NameHash, members: &[(NameHash, NameHash)]) {
         self.servers.set_senders(Senders::new(own, members));
     }
 
-    /// Returns what was learned of the speed of a service's engines, or the first guess.
+    /// Returns the learned first-event model of a service, or the initial model if nothing was learned.
     pub fn first_event_model(&self, service: NameHash) -> FirstEventModel {
         self.models.get(&service).copied().unwrap_or_default()
     }
 
-    /// Returns the key of a server that was listed at some time.
+    /// Returns the key of a server that is or was listed.
     pub fn server_key(&self, name: NameHash) -> Option<ServerKey> {
         self.servers.key(name)
     }
 
-    /// Counts a request as it arrives; each is counted once, whatever becomes of it.
+    /// Counts an arriving request. Each request is counted once, regardless of its outcome.
     pub fn record_arrival(&mut self, demand: &Demand<'_>, now: TimeMs) {
         self.usage.record_request(demand.workspace, demand.cost(), now);
         self.retries.count_request(demand.service, &self.settings, now);
     }
 
-    /// Takes a retry from the service's budget; `false` if the budget has no room.
+    /// Takes a retry from the service's budget. Returns `false` if the budget has no room.
     pub fn take_retry(&mut self, service: NameHash, now: TimeMs) -> bool {
         let instances = self.instances();
         self.retries.take(service, instances, &self.settings, now)
     }
 
-    /// Sets how many instances the fleet has, this one included: a peer's report may stand for many.
+    /// Sets the number of instances in the fleet, this one included. A peer's report may cover several
+    /// instances.
     pub fn set_instances(&mut self, instances: usize) {
         self.instances = instances;
     }
 
-    /// Decides where a request goes, or that it is refused.
+    /// Decides where a request goes, or refuses it.
     pub fn decide(&mut self, demand: &Demand<'_>, now: TimeMs) -> Decision {
-        // What was learned of a request must outlive its attempts: its returns are new requests, mostly at other
-        // instances, and each would end one more server.
+        // The quarantine must outlive the attempts of a request. A caller's retry is a new request, usually
+        // at another instance, and each retry would crash one more server.
         let quarantine = &mut self.quarantine;
         let is_quarantined = |fingerprint| quarantine.refuses(fingerprint, now);
         if demand.fingerprint.is_some_and(is_quarantined) {
@@ -194,23 +195,24 @@
         let usage = &mut self.usage;
         let mut decision = admit(demand, placement, || usage.share(demand.workspace, now));
         if let Decision::Send(placement) = &decision
-            && !self.passes_pacing(demand, placement, now)
+            && !self.take_pacing_tokens(demand, placement, now)
         {
             decision = refuse_paced(demand, placement);
         }
         decision
     }
 
-    /// Tells whether a request may be written to a connection to a server that was kept. Where nothing in another
-    /// failure domain has answered lately, that may be beyond a cut: a connect shows it within its time-out, while what
-    /// is written into a cut is lost for seconds, and may not be sent again.
+    /// Returns whether a request may be written to an idle connection to a server. If nothing in another
+    /// failure domain has answered recently, that domain may be partitioned. A new connection detects this
+    /// within the connect timeout. A request written to a partitioned connection is lost for seconds and may
+    /// not be safe to retry.
     pub fn trusts_kept_connection(&self, server: ServerKey, now: TimeMs) -> bool {
         let domain = self.servers.get(server).setup.failure_domain;
         domain == self.own_domain || !self.reach.is_suspect(domain, now)
     }
 
-    /// Asks the pacing rule about a prompt that admission would send.
-    fn passes_pacing(&mut self, demand: &Demand<'_>, placement: &Placement, now: TimeMs) -> bool {
+    /// Applies the pacing rule to a prompt that admission would send.
+    fn take_pacing_tokens(&mut self, demand: &Demand<'_>, placement: &Placement, now: TimeMs) -> bool {
         let is_retry = !demand.tried.is_empty();
         if is_retry || demand.engine_prompt().is_none() {
             return true;
@@ -219,35 +221,35 @@
         let prefill_tokens = f64::from(placement.prefill_tokens);
         self.usage.capped(demand.workspace, now).is_none_or(|workspace| {
             self.pacer
-                .passes(demand.workspace, &workspace, capacity, prefill_tokens, now)
+                .try_take(demand.workspace, &workspace, capacity, prefill_tokens, now)
         })
     }
 
-    /// Returns what all servers that prompts go to prefill together: shares are those of all services, so a
-    /// route to a service of few servers must not be paced by these alone.
+    /// Returns the total prefill rate of all servers that prompts go to. Shares cover all services, so a
+    /// route to a service with few servers must not be paced by the capacity of these servers alone.
     fn prefill_capacity(&self, service: NameHash) -> PrefillCapacity {
-        let of_service = |service: NameHash| {
+        let tokens_per_ms_of = |service: NameHash| {
             let servers = self.servers.of_service(service).len() as f64;
             servers / self.first_event_model(service).prefill_ms(1.0)
         };
         let others = self.models.keys().filter(|other| **other != service);
-        let others_tokens_per_ms: f64 = others.map(|other| of_service(*other)).sum();
+        let others_tokens_per_ms: f64 = others.map(|other| tokens_per_ms_of(*other)).sum();
         PrefillCapacity {
-            tokens_per_ms: of_service(service) + others_tokens_per_ms,
+            tokens_per_ms: tokens_per_ms_of(service) + others_tokens_per_ms,
         }
     }
 
-    /// Returns what a workspace requested and was sent within the window, and the level that it is judged by.
+    /// Returns the requested and the sent cost of a workspace within the window, and the max-min level.
     pub fn workspace_share(&mut self, workspace: NameHash, now: TimeMs) -> WorkspaceShare {
         self.usage.share(workspace, now)
     }
 
-    /// Returns the same of each workspace that asked this instance within the window.
+    /// Returns the share of each workspace that sent a request to this instance within the window.
     pub fn own_workspace_shares(&mut self, now: TimeMs) -> Vec<(NameHash, WorkspaceShare)> {
         self.usage.own_shares(now)
     }
 
-    /// Records that a request is being sent where it was decided.
+    /// Records that a request is being sent to the server of its placement.
     pub fn begin_attempt(&mut self, demand: &Demand<'_>, placement: &Placement, now: TimeMs) -> Attempt {
         self.usage.record_sent(demand.workspace, demand.cost(), now);
         let limit = self.servers.limit(demand.service);
@@ -266,7 +268,7 @@
         attempt
     }
 
-    /// Records that the first event of an answer has come; later calls for an attempt do nothing.
+    /// Records the first event of an answer. Later calls for the same attempt do nothing.
     pub fn record_first_event(&mut self, attempt: &mut Attempt, now: TimeMs) {
         if attempt.has_answered {
             return;
@@ -286,16 +288,16 @@
             let model = self.models.entry(attempt.service).or_default();
             model.learn(attempt.work, engine_ms.max(0.0));
         } else {
-            // What it waited for a slot says nothing of the server's speed.
+            // The wait for a slot is no measure of the server's speed.
             server.health.learn_plain_time(took_ms / attempt.rounds);
         }
     }
 
-    /// Ends an attempt, and judges the server by its outcome.
+    /// Ends an attempt and updates the server's health by the outcome.
     pub fn finish_attempt(&mut self, mut attempt: Attempt, outcome: AttemptOutcome, now: TimeMs) {
         if !attempt.may_have_run(outcome) {
             self.usage
-                .take_back(attempt.workspace, attempt.cost, attempt.began_at);
+                .refund(attempt.workspace, attempt.cost, attempt.began_at);
         }
         if !attempt.has_answered {
             self.end_prefill(&mut attempt);
@@ -312,7 +314,7 @@
         if let Some(place) = attempt.window_place.take() {
             server.backoff.close(place);
         }
-        // A server that says for how long it wants nothing is well.
+        // A rejection with a back-off time does not count against the server's health.
         if outcome != AttemptOutcome::Rejected || !server.backoff.is_active(now) {
             server.health.record_outcome(outcome, now);
         }
@@ -322,7 +324,7 @@
         }
     }
 
-    /// Takes in what a server said of itself in an answer; returns what of it was not known.
+    /// Records a server's notice from the headers of its answer. Returns the parts that are new.
     pub fn record_notice(&mut self, server: ServerKey, notice: ServerNotice, now: TimeMs) -> ServerNotice {
         let delay_ms = self.return_delay_ms(server);
         let backoff = &mut self.servers.get_mut(server).backoff;
@@ -333,7 +335,8 @@
         }
     }
 
-    /// Returns the servers that peers told to drain, by an answer of theirs, since the last call.
+    /// Returns the servers that peers reported as draining since the last call. The peers learned it from an
+    /// answer of the server.
     pub fn take_told_draining(&mut self) -> Vec<ServerKey> {
         self.servers.take_told_draining()
     }
@@ -343,23 +346,23 @@
         return_delay_ms(self.servers.own(), setup.name, self.instances(), setup.slots)
     }
 
-    /// Returns how many instances the fleet has, as far as is known.
+    /// Returns the number of known instances in the fleet.
     fn instances(&self) -> usize {
         self.instances.max(self.peers.count() + 1)
     }
 
-    /// Returns how many servers asked this instance for time that is not over.
+    /// Returns how many servers requested a back-off from this instance that has not elapsed.
     pub fn backed_off(&self, now: TimeMs) -> usize {
         self.servers.backed_off(now)
     }
 
-    /// Tells whether a request that was placed on a server may still be sent there: what was learned since, from a
-    /// list or from an answer, counts for requests that are connecting as well.
+    /// Returns whether a request that was placed on a server may still be sent there. Changes learned from a
+    /// list or an answer since the placement also apply to requests that are still connecting.
     pub fn still_takes(&self, server: ServerKey, now: TimeMs) -> bool {
         self.servers.still_takes(server, now)
     }
 
-    /// Remembers a request whose connection broke, until it is known whether its server ended.
+    /// Keeps a request whose connection broke until it is known whether its server ended.
     fn record_broken(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: TimeMs) {
         if let (AttemptOutcome::Broken, Some(fingerprint)) = (outcome, attempt.fingerprint) {
             let request = BrokenRequest {
@@ -371,24 +374,25 @@
         }
     }
 
-    /// Returns the requests that were quarantined, or are no more, since the last call.
+    /// Returns the requests that entered or left quarantine since the last call.
     pub fn take_quarantine_events(&mut self) -> Vec<QuarantineEvent> {
         self.quarantine.take_events()
     }
 
-    /// Returns how many requests are quarantined.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         self.quarantine.count()
     }
 
-    /// Returns the servers to connect to since connections there broke: it is to be found out whether they ended.
+    /// Returns the servers whose connections broke. The caller connects to each to check whether it has
+    /// ended.
     pub fn take_servers_to_check(&mut self) -> Vec<ServerKey> {
         self.broken.take_unchecked()
     }
 
-    /// Records whether a server that was to be checked listens; nothing else is said of it by this.
-    pub fn record_check(&mut self, server: ServerKey, listens: bool, now: TimeMs) {
-        if listens {
+    /// Records whether a checked server listens. A listening server is not thereby considered healthy.
+    pub fn record_check(&mut self, server: ServerKey, is_listening: bool, now: TimeMs) {
+        if is_listening {
             self.broken.forget(server);
             return;
         }
@@ -397,13 +401,14 @@
         health.record_outcome(AttemptOutcome::Down, now);
     }
 
-    /// Returns the servers that were found to have ended since the last call, with the requests that broke off
-    /// there.
+    /// Returns the servers that were found to have ended since the last call, each with the requests that
+    /// broke off there.
     pub fn take_server_ends(&mut self) -> Vec<ServerEnd> {
         std::mem::take(&mut self.server_ends)
     }
 
-    /// Judges servers whose answers are overdue, finds servers that have ended, and drops peers' reports that have expired.
+    /// Records overdue answers against the health of their servers, detects servers that have ended, and
+    /// drops expired reports of peers.
     pub fn tick(&mut self, now: TimeMs) {
         for server in self.unanswered.take_overdue(now) {
             self.servers.get_mut(server).health.record_overdue(now);
@@ -419,7 +424,7 @@
         self.peers.drop_expired(&mut self.servers, &mut self.usage, now);
     }
 
-    /// Takes in a peer's load report, which replaces its last one.
+    /// Receives a peer's load report, which replaces its previous one.
     pub fn receive_report(&mut self, peer: NameHash, report: LoadReport, now: TimeMs) {
         let peer_silent_ms = GossipTiming::of(self.peers.count()).peer_silent_ms;
         let valid_until = now.plus_ms(self.settings.report_valid_ms.max(peer_silent_ms));
@@ -433,12 +438,13 @@
             .receive(peer, report, valid_until, &mut self.servers, &mut self.usage, now);
     }
 
-    /// Has the next load reports tell all that a peer must know which has just started, or was cut off.
+    /// Includes all suspected requests in the next load reports, for a peer that has just started or was
+    /// partitioned.
     pub fn welcome_peer(&mut self, now: TimeMs) {
         self.quarantine.announce_all(now);
     }
 
-    /// Drops a peer's report once the peer is stopping or silent.
+    /// Drops the report of a peer that is stopping or silent.
     pub fn drop_peer(&mut self, peer: NameHash) {
         self.peers.remove(peer, &mut self.servers, &mut self.usage);
     }
@@ -453,13 +459,14 @@
         }
     }
 
-    /// Returns the requests that run on a server, from this instance and from all.
+    /// Returns the number of requests that run on a server: those from this instance, and those from all
+    /// instances.
     pub fn running(&self, server: ServerKey) -> (u32, u32) {
         let state = self.servers.get(server);
         (state.own.running, state.running())
     }
 
-    /// Takes an attempt's prompt off its server's load.
+    /// Marks an attempt as answered and subtracts its prompt from its server's load.
     fn end_prefill(&mut self, attempt: &mut Attempt) {
         attempt.has_answered = true;
         self.unanswered.remove(attempt);
--- a/crates/reedsail_dispatch/src/failure_rate.rs
+++ b/crates/reedsail_dispatch/src/failure_rate.rs
@@ -1,13 +1,13 @@
-//! A moving average of failures that fades with time; the state behind `server_health`.
+//! A moving average of failures that decays over time. It is the state behind `server_health`.
 
 use reedsail_core::TimeMs;
 
 /// Weight of the newest outcome in the average.
 const NEWEST_WEIGHT: f64 = 0.25;
-/// Time after which half of a rate has faded, in milliseconds.
+/// Time in which a rate decays by half, in milliseconds.
 const HALF_LIFE_MS: f64 = 4_000.0;
 
-/// The average; it fades while nothing is sent, so that a server is tried again.
+/// A moving average of failures. It decays while nothing is sent, so that a server is tried again.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureRate {
     rate: f64,
@@ -15,14 +15,14 @@
 }
 
 impl FailureRate {
-    /// Records an outcome: 0 for a success, 1 for a failure, other weights as `server_health` sets them.
+    /// Records an outcome: 0 for a success, 1 for a failure, or another weight that `server_health` defines.
     pub(crate) fn record(&mut self, failure: f64, now: TimeMs) {
         let rate = self.at(now);
         self.rate = rate + NEWEST_WEIGHT * (failure - rate);
         self.updated_at = now;
     }
 
-    /// Returns the rate at a moment, from 0 to 1.
+    /// Returns the rate at a given time, from 0 to 1.
     pub(crate) fn at(&self, now: TimeMs) -> f64 {
         let age_ms = now.since_ms(self.updated_at) as f64;
         self.rate * 0.5_f64.powf(age_ms / HALF_LIFE_MS)
--- a/crates/reedsail_dispatch/src/fair_share.rs
+++ b/crates/reedsail_dispatch/src/fair_share.rs
@@ -1,16 +1,16 @@
-//! Fair share: whether a workspace has had more than its share while others want more.
+//! Fair share: whether a workspace was sent more than its share while others request more.
 //!
-//! **Rule.** Over a sliding window, what the fleet sent to servers is divided max-min among the
-//! workspaces by what each requested. A workspace whose sent cost is above that level is over its
-//! share; where there is enough for all, nobody is. For `pacing`, what workspaces wanted and were sent in
-//! the last tenths of a second is kept as well.
+//! **Rule.** Over a sliding window, the cost that the fleet sent to servers is divided max-min among the
+//! workspaces by the cost that each requested. A workspace whose sent cost is above that level is over its
+//! share. If there is enough for all, no workspace is over its share. For `pacing`, this module also keeps
+//! the requested prefill tokens and the sent cost of the last tenths of a second.
 //!
 //! **Inputs.** The cost of requests as they arrive and as they are sent (tokens, see [`Demand::cost`]),
-//! here and from peers' reports; the setting `dispatch.share_window_ms`.
+//! from this instance and from peers' reports; the setting `dispatch.share_window_ms`.
 //!
-//! **Why.** The users judge fairness by the tokens that each workspace got within such a window, over
-//! the whole fleet. Peers' reports stand in for coordination: a report that is late costs fairness for
-//! a moment and nothing else.
+//! **Why.** Users judge fairness by the tokens that each workspace got within such a window over the whole
+//! fleet. Peers' load reports replace coordination: a late report costs fairness for a moment and nothing
+//! else.
 //!
 //! **Tested by** `tests/shares.rs`, `tests/flood.rs`, `tests/decision_trace.rs`.
 //!
@@ -26,20 +26,22 @@
 use crate::max_min::level_of_sorted;
 use crate::max_min_level;
 
-/// Buckets of a window.
+/// Number of buckets in a window.
 const BUCKETS: usize = 16;
-/// How long a computed level is used, in milliseconds, so that a burst of requests sorts the workspaces
-/// once.
+/// How long a computed level is reused, in milliseconds, so that a burst of requests sorts the workspaces
+/// only once.
 const LEVEL_VALID_MS: u64 = 40;
-/// Time constant of the recent prefill work, in milliseconds. Part of the load message.
+/// Time constant of the recent prefill tokens, in milliseconds. All instances must use the same value, since
+/// the sums are part of the load message.
 const RECENT_PREFILL_MS: u64 = 400;
-/// Time constant of the recently sent cost, in milliseconds. Part of the load message.
+/// Time constant of the recently sent cost, in milliseconds. All instances must use the same value, since the
+/// sums are part of the load message.
 const RECENT_SENT_MS: u64 = 800;
-/// Prompt tokens wanted since the last level from which it is computed anew before its time: a flood that
-/// begins shows at once.
-const LEVEL_TOKENS_MAX: f64 = 20_000.0;
+/// Prompt tokens requested since the last computation of the level after which it is recomputed early, so
+/// that the start of a flood shows immediately.
+const TOKENS_PER_LEVEL_MAX: f64 = 20_000.0;
 
-/// Fraction of its due below which a workspace counts as starved; the users bear with half.
+/// Fraction of its due below which a workspace counts as starved. Users tolerate half of their due.
 const STARVED_FRACTION: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -52,7 +54,7 @@
 #[derive(Clone, Debug, Default)]
 struct WorkspaceUse {
     buckets: [Bucket; BUCKETS],
-    /// Prompt tokens that its requests lately wanted prefilled on this instance.
+    /// Recent prompt tokens to prefill for its requests on this instance.
     recent_prefill_tokens: DecayingSum<RECENT_PREFILL_MS>,
     recent_sent: DecayingSum<RECENT_SENT_MS>,
     peers_requested: f64,
@@ -73,7 +75,7 @@
         bucket
     }
 
-    /// Returns the cost requested and sent on this instance within the window.
+    /// Returns the cost requested from and sent by this instance within the window.
     fn own(&self, number: u64) -> (f32, f32) {
         let oldest = (number + 1).saturating_sub(BUCKETS as u64);
         self.buckets
@@ -84,17 +86,17 @@
             })
     }
 
-    /// Returns the prompt tokens that its requests lately wanted prefilled on all instances.
+    /// Returns the recent prompt tokens to prefill for its requests on all instances.
     fn recent_prefill_tokens(&self, now: TimeMs) -> f64 {
-        self.recent_prefill_tokens.at(now) + self.peers_recent_prefill_tokens
+        self.recent_prefill_tokens.value_at(now) + self.peers_recent_prefill_tokens
     }
 
-    /// Returns the cost that was lately sent by all instances.
+    /// Returns the cost recently sent by all instances.
     fn recent_sent(&self, now: TimeMs) -> f64 {
-        self.recent_sent.at(now) + self.peers_recent_sent
+        self.recent_sent.value_at(now) + self.peers_recent_sent
     }
 
-    /// Returns the cost requested and sent on all instances within the window.
+    /// Returns the cost requested from and sent by all instances within the window.
     fn total(&self, number: u64) -> (f64, f64) {
         let (own_requested, own_sent) = self.own(number);
         (
@@ -104,41 +106,41 @@
     }
 }
 
-/// What one workspace requested and was sent within the window over the whole fleet, as one instance knows
-/// it, and the level that its share is judged by. In tokens.
+/// The cost that a workspace requested and was sent within the window over the whole fleet, as one instance
+/// knows it, and the max-min level. All in tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkspaceShare {
-    /// Cost of its requests.
+    /// Cost of the workspace's requests.
     pub requested_cost: f64,
-    /// Cost of those that were sent.
+    /// Cost of the requests that were sent.
     pub sent_cost: f64,
-    /// What no workspace gets more of while others want more; infinite where there is enough for all.
+    /// The most that a workspace may get while others request more; infinite if there is enough for all.
     pub level_cost: f64,
 }
 
 impl WorkspaceShare {
-    /// Tells whether the workspace was sent more than its share.
+    /// Returns whether the workspace was sent more than its share.
     pub fn is_over(&self) -> bool {
         self.sent_cost > self.level_cost
     }
 
-    /// Tells whether there is not enough for all, and the workspace was sent far less than it is due.
+    /// Returns whether there is not enough for all and the workspace was sent far less than its due.
     pub fn is_starved(&self) -> bool {
         let due_cost = self.requested_cost.min(self.level_cost);
         self.level_cost.is_finite() && self.sent_cost < STARVED_FRACTION * due_cost
     }
 }
 
-/// All workspaces, as the level divides them.
+/// The max-min level, and the workspaces grouped by whether they requested more than the level.
 #[derive(Clone, Debug)]
 struct Levels {
     level_cost: f64,
-    /// What each workspace that requested more than the level would lately have been sent if all were sent the
-    /// same.
-    even_recent_sent: f64,
-    /// The recent prefill tokens of each of them, the least first.
+    /// The recently sent cost of each workspace that requested more than the level if all of them were sent
+    /// the same.
+    equal_recent_sent: f64,
+    /// The recent prefill tokens of each workspace that requested more than the level, in ascending order.
     capped_prefill_tokens: Vec<f64>,
-    /// The recent prefill tokens of all others together.
+    /// The total of the recent prefill tokens of all other workspaces.
     uncapped_prefill_tokens: f64,
 }
 
@@ -146,50 +148,52 @@
     fn default() -> Self {
         Self {
             level_cost: f64::INFINITY,
-            even_recent_sent: 0.0,
+            equal_recent_sent: 0.0,
             capped_prefill_tokens: Vec::new(),
             uncapped_prefill_tokens: 0.0,
         }
     }
 }
 
-/// A workspace that requested more than the level, beside the others; rates in prompt tokens a millisecond.
+/// A workspace that requested more than the level, relative to the others. Rates are in prompt tokens per
+/// millisecond.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CappedWorkspace<'a> {
-    /// Fraction of its recent prefill tokens that came to this instance.
+    /// Fraction of its recent prefill tokens that arrived at this instance.
     pub(crate) own_fraction: f64,
-    /// What it was lately sent, as a ratio of what each capped workspace would be if all were sent the same.
+    /// Its recently sent cost, as a ratio of the cost for each capped workspace if all were sent the same.
     pub(crate) sent_ratio: f64,
     levels: &'a Levels,
 }
 
 impl CappedWorkspace<'_> {
-    /// Returns the rate at which workspaces that requested less than the level want prompts prefilled.
+    /// Returns the total rate of prompt tokens to prefill for workspaces that did not request more than the
+    /// level.
     pub(crate) fn uncapped_tokens_per_ms(&self) -> f64 {
         tokens_per_ms(self.levels.uncapped_prefill_tokens)
     }
 
-    /// Divides a rate max-min among the capped workspaces by what they lately wanted; returns the most that one
-    /// gets, or infinity if there is enough for all.
+    /// Divides a rate max-min among the capped workspaces by their recent prefill tokens. Returns the most
+    /// that one of them gets, or infinity if there is enough for all.
     pub(crate) fn level_tokens_per_ms(&self, capacity_tokens_per_ms: f64) -> f64 {
         let capacity = capacity_tokens_per_ms * RECENT_PREFILL_MS as f64;
         tokens_per_ms(level_of_sorted(&self.levels.capped_prefill_tokens, capacity))
     }
 }
 
-/// Returns the rate at which work came that counts so many recent tokens.
+/// Returns the arrival rate that corresponds to a decaying sum of recent tokens.
 fn tokens_per_ms(recent_tokens: f64) -> f64 {
     recent_tokens / RECENT_PREFILL_MS as f64
 }
 
-/// The use of every workspace within the window.
+/// The usage of every workspace within the window.
 #[derive(Clone, Debug)]
 pub(crate) struct UsageTable {
     workspaces: HashMap<NameHash, WorkspaceUse>,
     bucket_ms: u64,
     levels: Levels,
     levels_until: TimeMs,
-    /// Prompt tokens that were wanted since the level was computed.
+    /// Prompt tokens requested since the level was computed.
     tokens_since_level: f64,
 }
 
@@ -205,20 +209,20 @@
         }
     }
 
-    /// Counts the cost of a request that arrived.
+    /// Counts the cost of an arriving request.
     pub(crate) fn record_request(&mut self, workspace: NameHash, cost: f64, now: TimeMs) {
         let number = now.0 / self.bucket_ms;
         let entry = self.workspaces.entry(workspace).or_default();
         entry.bucket(number).requested += cost as f32;
     }
 
-    /// Counts the prompt tokens that a request wants prefilled.
+    /// Counts the prompt tokens to prefill for a request.
     pub(crate) fn record_prefill(&mut self, workspace: NameHash, tokens: u32, now: TimeMs) {
         let tokens = f64::from(tokens);
         let entry = self.workspaces.entry(workspace).or_default();
         entry.recent_prefill_tokens.add(tokens, now);
         self.tokens_since_level += tokens;
-        if self.tokens_since_level > LEVEL_TOKENS_MAX {
+        if self.tokens_since_level > TOKENS_PER_LEVEL_MAX {
             self.levels_until = now;
         }
     }
@@ -231,22 +235,22 @@
         entry.recent_sent.add(cost, now);
     }
 
-    /// Takes back what was counted as sent at a moment, since no server had it: callers that enter at a late
-    /// instance would put their workspace over its share by attempts that it never got.
-    pub(crate) fn take_back(&mut self, workspace: NameHash, cost: f64, sent_at: TimeMs) {
+    /// Refunds a cost that was counted as sent at an earlier time but reached no server. Otherwise the failed
+    /// attempts of callers at a slow instance would put their workspace over its share.
+    pub(crate) fn refund(&mut self, workspace: NameHash, cost: f64, sent_at: TimeMs) {
         let number = sent_at.0 / self.bucket_ms;
         let Some(entry) = self.workspaces.get_mut(&workspace) else {
             return;
         };
-        entry.recent_sent.take_back(cost, sent_at);
+        entry.recent_sent.subtract(cost, sent_at);
         let bucket = &mut entry.buckets[(number % BUCKETS as u64) as usize];
-        // Another number: the window has moved on, and the amount with it.
+        // A different number means that the bucket was reused, so the amount has already left the window.
         if bucket.number == number {
             bucket.sent = (bucket.sent - cost as f32).max(0.0);
         }
     }
 
-    /// Adds or, with a negative sign, takes away what a peer reported.
+    /// Adds a peer's reported rows with a `sign` of 1, or subtracts them with a `sign` of -1.
     pub(crate) fn add_peer(&mut self, rows: &[WorkspaceUseRow], sign: f64) {
         for row in rows {
             let entry = self.workspaces.entry(row.workspace).or_default();
@@ -259,8 +263,8 @@
         }
     }
 
-    /// Returns the share of a workspace: it is over if it got more than its max-min share of what the fleet
-    /// sent within the window while others requested more than they got.
+    /// Returns the share of a workspace. It is over its share if it got more than its max-min share of the
+    /// cost that the fleet sent within the window while others requested more than they got.
     pub(crate) fn share(&mut self, workspace: NameHash, now: TimeMs) -> WorkspaceShare {
         self.refresh_levels(now);
         let number = now.0 / self.bucket_ms;
@@ -273,7 +277,7 @@
         }
     }
 
-    /// Returns a workspace beside the others if it requested more than the level.
+    /// Returns a workspace relative to the others if it requested more than the level.
     pub(crate) fn capped(&mut self, workspace: NameHash, now: TimeMs) -> Option<CappedWorkspace<'_>> {
         let share = self.share(workspace, now);
         if share.requested_cost <= share.level_cost {
@@ -282,13 +286,13 @@
         let entry = self.workspaces.get(&workspace)?;
         let levels = &self.levels;
         Some(CappedWorkspace {
-            own_fraction: entry.recent_prefill_tokens.at(now) / entry.recent_prefill_tokens(now).max(1.0),
-            sent_ratio: entry.recent_sent(now) / levels.even_recent_sent.max(1.0),
+            own_fraction: entry.recent_prefill_tokens.value_at(now) / entry.recent_prefill_tokens(now).max(1.0),
+            sent_ratio: entry.recent_sent(now) / levels.equal_recent_sent.max(1.0),
             levels,
         })
     }
 
-    /// Returns the workspaces that asked on this instance within the window, each with its share.
+    /// Returns the workspaces that sent requests to this instance within the window, each with its share.
     pub(crate) fn own_shares(&mut self, now: TimeMs) -> Vec<(NameHash, WorkspaceShare)> {
         let number = now.0 / self.bucket_ms;
         let own = self.workspaces.iter();
@@ -313,8 +317,8 @@
                     workspace: *workspace,
                     requested_cost,
                     sent_cost,
-                    recent_prefill_tokens: entry.recent_prefill_tokens.at(now) as f32,
-                    recent_sent_cost: entry.recent_sent.at(now) as f32,
+                    recent_prefill_tokens: entry.recent_prefill_tokens.value_at(now) as f32,
+                    recent_sent_cost: entry.recent_sent.value_at(now) as f32,
                 });
             }
         }
@@ -336,11 +340,11 @@
             sent += entry_sent;
         }
         let level_cost = max_min_level(&mut requested, sent);
-        self.levels = self.levels_at(level_cost, now);
+        self.levels = self.group_by_level(level_cost, now);
     }
 
-    /// Divides the workspaces into those that requested more than the level and the others.
-    fn levels_at(&self, level_cost: f64, now: TimeMs) -> Levels {
+    /// Groups the workspaces into those that requested more than the level and the others.
+    fn group_by_level(&self, level_cost: f64, now: TimeMs) -> Levels {
         let mut levels = Levels {
             level_cost,
             ..Levels::default()
@@ -350,19 +354,20 @@
             let (requested, _) = entry.total(number);
             let prefill_tokens = entry.recent_prefill_tokens(now);
             if requested > level_cost {
-                levels.even_recent_sent += entry.recent_sent(now);
+                levels.equal_recent_sent += entry.recent_sent(now);
                 levels.capped_prefill_tokens.push(prefill_tokens);
             } else {
                 levels.uncapped_prefill_tokens += prefill_tokens;
             }
         }
-        levels.even_recent_sent /= levels.capped_prefill_tokens.len().max(1) as f64;
+        levels.equal_recent_sent /= levels.capped_prefill_tokens.len().max(1) as f64;
         if level_cost.is_finite() {
-            // A workspace that was sent less than the level is not held back because others were sent nothing
-            // yet: without this 2,593 instead of 2,635 thousand requests were in time (96 simulated floods).
+            // A workspace that was sent less than the level is not paced because others were sent nothing
+            // yet. Without this bound 2,593 thousand instead of 2,635 thousand requests met their target in
+            // 96 simulated floods.
             let window_ms = (self.bucket_ms * BUCKETS as u64) as f64;
             let level_recent_sent = level_cost * RECENT_SENT_MS as f64 / window_ms;
-            levels.even_recent_sent = levels.even_recent_sent.max(level_recent_sent);
+            levels.equal_recent_sent = levels.equal_recent_sent.max(level_recent_sent);
         }
         levels.capped_prefill_tokens.sort_by(f64::total_cmp);
         levels
--- a/crates/reedsail_dispatch/src/first_event_model.rs
+++ b/crates/reedsail_dispatch/src/first_event_model.rs
@@ -1,50 +1,52 @@
-//! First-event model: how long the engines of one service take to the first event of an answer, learned
-//! from their answers.
+//! First-event model: the time to first event of the engines of one service, learned from their answers.
 //!
-//! **Rule.** The time is linear in three things: the prompt tokens that the engine has to prefill for the
-//! request itself, those that were sent to it before and have no first event yet, and the requests that
-//! it runs. Each answer moves the coefficients by least squares; older answers count for ever less.
+//! **Rule.** The time is linear in three terms: the prompt tokens that the engine prefills for the request
+//! itself, the prompt tokens that were sent to it earlier and have no first event yet, and the number of
+//! requests that it runs. Each answer updates the coefficients by least squares with exponential forgetting.
 //!
-//! **Inputs.** For each answer: these three as they were known when the request was sent, and the time to
-//! the first event (milliseconds).
+//! **Inputs.** For each answer: these three terms as they were known when the request was sent, and the time
+//! to the first event (milliseconds).
 //!
-//! **Why.** Engines of different models differ twentyfold, and no figure of the operators tells how fast
-//! one of them prefills. With a rate that is too low, long prompts are refused on an idle fleet; with one
-//! that is too high, requests queue where they miss their target. Queued tokens have a coefficient of
-//! their own, since part of them is prefilled by the time a peer's report arrives.
+//! **Why.** The speed of engines of different models differs twentyfold, and no configured figure says how
+//! fast an engine prefills. If the assumed rate is too low, long prompts are refused on an idle fleet. If it
+//! is too high, requests queue where they miss their target. Queued tokens have their own coefficient,
+//! because part of them is already prefilled when a peer's report arrives.
 //!
 //! **Tested by** `tests/first_event_model.rs`.
 
-/// Coefficients of the model.
+/// Number of coefficients of the model.
 const TERMS: usize = 4;
-/// The place of the request's own tokens among them.
-const OWN_TOKENS: usize = 1;
-/// Tokens are counted in thousands, which keeps the sums of one size.
+/// Index of the coefficient of the request's own tokens.
+const OWN_TOKENS_TERM: usize = 1;
+/// Tokens are counted in thousands, which keeps the sums at a similar magnitude.
 const TOKENS_PER_UNIT: f64 = 1_000.0;
-/// The coefficients until answers were seen, and what each is drawn to where answers do not tell it: the
-/// base in milliseconds, milliseconds for a thousand own and a thousand queued tokens, and for a request
-/// that runs. Those of a middling engine: 40 tokens a millisecond.
-const FIRST_GUESS: [f64; TERMS] = [60.0, 25.0, 12.0, 0.5];
-/// How strongly each coefficient is drawn to its first guess, beside the squares of 64 answers.
+/// The coefficients before the first answer. The fit pulls a coefficient towards this value if the answers
+/// don't determine it. In order: the base in milliseconds, then milliseconds per thousand own tokens, per
+/// thousand queued tokens and per running request. They describe an engine of medium speed, 40 tokens per
+/// millisecond.
+const INITIAL_COEFFICIENTS: [f64; TERMS] = [60.0, 25.0, 12.0, 0.5];
+/// Ridge weight that pulls each coefficient towards its initial value, relative to the squares of 64 answers.
 const RIDGE: [f64; TERMS] = [0.5, 0.2, 0.2, 20.0];
-/// Ranges of the coefficients.
+/// Allowed ranges of the coefficients.
 const RANGES: [(f64, f64); TERMS] = [(5.0, 2_000.0), (0.5, 250.0), (0.2, 250.0), (0.0, 20.0)];
-/// Weight of all older answers at each new one: about 64 answers count, which an instance with ten answers
-/// a second sees in some six seconds.
-const FORGETTING: f64 = 1.0 - 1.0 / 64.0;
-/// An answer that took more or less than the expected time by this factor counts as one by this factor.
-const ODD_FACTOR: f64 = 4.0;
-/// Tokens that take about as long as the base: from there on the weight of an answer falls.
+/// Factor by which each new answer reduces the weight of all older ones. About 64 answers count, which an
+/// instance with ten answers per second receives in about six seconds.
+const FORGETTING_FACTOR: f64 = 1.0 - 1.0 / 64.0;
+/// Bound on outliers: an answer that took more or less than the expected time by more than this factor counts
+/// as one that differs by exactly this factor.
+const OUTLIER_FACTOR: f64 = 4.0;
+/// Number of tokens that take about as long as the base. The weight of an answer falls with its tokens from
+/// this scale on.
 const BASE_TOKENS: f64 = 3_000.0;
 
-/// What an engine has to do when a request is sent to it, as far as is known.
+/// Known work of an engine when a request is sent to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineWork {
-    /// Prompt tokens of the request that the engine has to prefill.
+    /// Prompt tokens of the request itself that the engine has to prefill.
     pub own_tokens: f64,
-    /// Prompt tokens of requests that were sent before and have no first event yet.
+    /// Prompt tokens of earlier requests that have no first event yet.
     pub queued_tokens: f64,
-    /// Requests that the engine runs.
+    /// Number of requests that the engine runs.
     pub running: f64,
 }
 
@@ -62,9 +64,9 @@
 /// The learned coefficients of one service, with the sums of the weighted least-squares fit.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstEventModel {
-    /// Sums of the products of each two terms.
+    /// Weighted sums of the products of each pair of terms.
     squares: [[f64; TERMS]; TERMS],
-    /// Sums of the products of each term and the time.
+    /// Weighted sums of the products of each term and the time.
     products: [f64; TERMS],
     coefficients: [f64; TERMS],
 }
@@ -74,26 +76,26 @@
         Self {
             squares: [[0.0; TERMS]; TERMS],
             products: [0.0; TERMS],
-            coefficients: FIRST_GUESS,
+            coefficients: INITIAL_COEFFICIENTS,
         }
     }
 }
 
 impl FirstEventModel {
-    /// Learns from an answer: its engine had this to do, and its first event came after `took_ms`
-    /// milliseconds.
+    /// Updates the model with an answer whose engine had the given work and whose first event arrived after
+    /// `took_ms` milliseconds.
     pub fn learn(&mut self, work: EngineWork, took_ms: f64) {
         let expected_ms = self.expected_ms(work);
-        let time_ms = took_ms.clamp(expected_ms / ODD_FACTOR, expected_ms * ODD_FACTOR);
+        let time_ms = took_ms.clamp(expected_ms / OUTLIER_FACTOR, expected_ms * OUTLIER_FACTOR);
         let terms = work.terms();
         let weight = answer_weight(work);
         for (row, term) in terms.iter().enumerate() {
             for (column, other) in terms.iter().enumerate() {
                 let sum = &mut self.squares[row][column];
-                *sum = *sum * FORGETTING + weight * term * other;
+                *sum = *sum * FORGETTING_FACTOR + weight * term * other;
             }
             let sum = &mut self.products[row];
-            *sum = *sum * FORGETTING + weight * term * time_ms;
+            *sum = *sum * FORGETTING_FACTOR + weight * term * time_ms;
         }
         self.fit();
     }
@@ -101,26 +103,27 @@
     /// Returns the expected time to the first event, in milliseconds.
     pub fn expected_ms(&self, work: EngineWork) -> f64 {
         let terms = work.terms().into_iter();
-        terms.zip(self.coefficients).map(|(term, of)| term * of).sum()
+        terms.zip(self.coefficients).map(|(term, coefficient)| term * coefficient).sum()
     }
 
-    /// Returns the time that prefilling so many tokens takes, in milliseconds.
+    /// Returns the time to prefill a number of tokens, in milliseconds.
     pub fn prefill_ms(&self, tokens: f64) -> f64 {
-        tokens / TOKENS_PER_UNIT * self.coefficients[OWN_TOKENS]
+        tokens / TOKENS_PER_UNIT * self.coefficients[OWN_TOKENS_TERM]
     }
 
-    /// Fits the coefficients to the sums, each drawn a little to its first guess, which keeps the fit
-    /// defined where all answers are alike.
+    /// Fits the coefficients to the sums. The ridge pulls each coefficient towards its initial value, which
+    /// keeps the fit well-defined if all answers are alike.
     fn fit(&mut self) {
         let mut rows = self.squares;
-        let mut right = self.products;
+        let mut right_side = self.products;
         for term in 0..TERMS {
             rows[term][term] += RIDGE[term];
-            right[term] += RIDGE[term] * FIRST_GUESS[term];
+            right_side[term] += RIDGE[term] * INITIAL_COEFFICIENTS[term];
         }
-        let solved = solve(rows, right);
-        for (term, value) in solved.into_iter().enumerate() {
-            // The ridge keeps every pivot above zero; what rounding may spoil all the same is not taken.
+        let solution = solve(rows, right_side);
+        for (term, value) in solution.into_iter().enumerate() {
+            // The ridge keeps every pivot above zero. A value that rounding still makes non-finite is
+            // discarded.
             if value.is_finite() {
                 self.coefficients[term] = value.clamp(RANGES[term].0, RANGES[term].1);
             }
@@ -128,16 +131,16 @@
     }
 }
 
-/// Returns the weight of an answer. Errors grow with the time itself, so answers to long prompts count for
-/// less. The weight rests on the tokens alone: one by the learned coefficients would hold on to what was
-/// learned before a service became slow.
+/// Returns the weight of an answer. Errors grow with the measured time, so answers to long prompts count for
+/// less. The weight depends on the tokens alone: a weight computed from the learned coefficients would
+/// preserve the coefficients from before a service became slow.
 fn answer_weight(work: EngineWork) -> f64 {
     let scale = 1.0 + (work.own_tokens + work.queued_tokens) / BASE_TOKENS;
     1.0 / (scale * scale)
 }
 
-/// Solves a symmetric, positive definite system of equations by elimination.
-fn solve(mut rows: [[f64; TERMS]; TERMS], mut right: [f64; TERMS]) -> [f64; TERMS] {
+/// Solves a symmetric, positive definite system of equations by Gaussian elimination.
+fn solve(mut rows: [[f64; TERMS]; TERMS], mut right_side: [f64; TERMS]) -> [f64; TERMS] {
     for pivot in 0..TERMS {
         let pivot_row = rows[pivot];
         for row in pivot + 1..TERMS {
@@ -145,15 +148,15 @@
             for (value, above) in rows[row].iter_mut().zip(pivot_row) {
                 *value -= factor * above;
             }
-            right[row] -= factor * right[pivot];
+            right_side[row] -= factor * right_side[pivot];
         }
     }
-    let mut solved = [0.0; TERMS];
+    let mut solution = [0.0; TERMS];
     for row in (0..TERMS).rev() {
         let known: f64 = (row + 1..TERMS)
-            .map(|column| rows[row][column] * solved[column])
+            .map(|column| rows[row][column] * solution[column])
             .sum();
-        solved[row] = (right[row] - known) / rows[row][row];
+        solution[row] = (right_side[row] - known) / rows[row][row];
     }
-    solved
+    solution
 }
--- a/crates/reedsail_dispatch/src/lib.rs
+++ b/crates/reedsail_dispatch/src/lib.rs
@@ -1,35 +1,36 @@
-//! All decisions of the router, a module a rule, from this instance's own load and its peers' reports.
+//! Routing decisions of the router, one module for each rule.
 //!
-//! Pure: no I/O, no clock, no runtime. An instance keeps one [`Dispatcher`], asks it where each request
-//! goes, tells it what became of the request, and exchanges [`LoadReport`]s with its peers. All of it is
-//! soft state: it may be wrong for a moment, which costs time or fairness, never an answer.
+//! The decisions depend on this instance's own load and on the load reports of its peers. The crate is pure:
+//! it has no I/O, clock or runtime. An instance keeps one [`Dispatcher`], asks it where each request goes,
+//! reports the outcome of each request to it, and exchanges [`LoadReport`]s with its peers. All state is soft
+//! state: it may be wrong for a moment, which costs latency or fairness but never an answer.
 //!
 //! | module | rule |
 //! |---|---|
 //! | `placement`, with `latency_estimate`, `first_event_model` and `prefix_memory` | which backend server |
 //! | `allowed_regions` | in which regions a request may run |
-//! | `server_groups` | which servers a decision looks at |
-//! | `load_pressure` | how soon peers must hear of the load |
-//! | `admission` | send or refuse, retry-after |
-//! | `retry` | may this be sent again, and is there budget |
-//! | `fair_share`, with `max_min` and `decaying_sum` | is a workspace over its share |
-//! | `pacing` | how fast prompts are sent of a workspace that wants more than its share |
-//! | `server_health`, with `failure_rate` and `attempt` | failure rate, overdue, unreachable |
-//! | `domain_reach` | can a failure domain be connected to at all |
+//! | `server_groups` | which servers a decision considers |
+//! | `load_pressure` | how soon peers must learn of the load |
+//! | `admission` | whether a request is sent or refused, and its retry-after |
+//! | `retry` | whether a request may be sent again, and whether the retry budget has room |
+//! | `fair_share`, with `max_min` and `decaying_sum` | whether a workspace exceeds its share |
+//! | `pacing` | how fast prompts are sent for a workspace that requests more than its share |
+//! | `server_health`, with `failure_rate` and `attempt` | failure rate, overdue answers, unreachable servers |
+//! | `domain_reach` | whether a failure domain can be connected to at all |
 //! | `server_ends` | which servers have ended, and which requests broke off there |
-//! | `quarantine` | which requests are not sent any more since servers end under them |
-//! | `overload` | does this instance refuse requests or shed callers |
-//! | `slow_reader` | did the server break off, or the caller stop reading |
-//! | `shutdown` | which requests are taken while stopping |
-//! | `server_list` | which records are believed after a store outage |
-//! | `server_life` | may a server get new work, by all that is known of it |
-//! | `server_backoff` | how long a server that asked for time gets nothing, and how requests return |
-//! | `slow_start` | who sends to a cold server, and how much |
-//! | `evacuations` | which failure domains get nothing new |
+//! | `quarantine` | which requests are no longer sent because servers end while running them |
+//! | `overload` | whether this instance refuses requests or sheds callers |
+//! | `slow_reader` | whether the server broke off an answer or the caller stopped reading |
+//! | `shutdown` | which requests are accepted while stopping |
+//! | `server_list` | which records are trusted after a store outage |
+//! | `server_life` | whether a server may get new work, given everything known about it |
+//! | `server_backoff` | how long a server that requested a back-off gets no requests, and how traffic resumes |
+//! | `slow_start` | which instances send to a cold server, and how much |
+//! | `evacuations` | which failure domains get no new work |
 //! | `store_reader`, with `duty_rank` | which instance of a failure domain reads the store |
-//! | `gossip_timing` | intervals and silence by fleet size |
+//! | `gossip_timing` | intervals and timeouts by fleet size |
 //!
-//! docs/DECISIONS.md has a row a rule, with the log fields in which its effect shows.
+//! docs/DECISIONS.md has one row for each rule, with the log fields that show its effect.
 
 mod admission;
 mod allowed_regions;
--- a/crates/reedsail_dispatch/src/placement.rs
+++ b/crates/reedsail_dispatch/src/placement.rs
@@ -1,19 +1,20 @@
 //! Placement: which backend server a request goes to.
 //!
 //! **Rule.** A prompt goes to one of the two servers that rank first for its last shared segment by
-//! rendezvous hashing, to the one whose first event is expected earliest; the second one pays a spread
-//! penalty. A request without a prompt goes to the server with the least expected time of its service.
-//! Servers already tried are left out, and those whose life or slow start lets nothing be sent to them
-//! (`server_life`, `slow_start`); unreachable ones, or those of an unreachable failure domain (`domain_reach`), are
-//! used only if there is no other. After a connect to another failure domain that was not answered the own one is
-//! tried first.
+//! rendezvous hashing. Of these, the server with the earliest expected first event is chosen, with a penalty
+//! for the second one. A request without a prompt goes to the server of its service with the least expected
+//! time. Servers that were already tried are excluded, and so are servers whose lifecycle state or slow start
+//! allows no new request (`server_life`, `slow_start`). Unreachable servers, and servers of an unreachable
+//! failure domain (`domain_reach`), are used only if there is no other. After a connect to another failure
+//! domain failed, servers in the own failure domain are tried first.
 //!
 //! **Inputs.** Requests and prefill tokens on each server from all instances, slots, health, the
 //! segments each server has cached, the service's first-event model; times in milliseconds.
 //!
-//! **Why.** Reading a shared segment again costs more than anything else here, so requests that share
-//! one meet at the same servers, on every instance alike and without a message. Two servers, since one
-//! that is busy would refuse; the second has the segment transferred from the first.
+//! **Why.** Prefilling a shared segment again costs more than anything else here. Rendezvous hashing sends
+//! requests that share a segment to the same servers, from every instance alike and without a message. There
+//! are two servers because a single busy one would refuse requests; the second one has the segment
+//! transferred from the first.
 //!
 //! **Tested by** `tests/placement.rs`, `tests/decision_trace.rs`.
 
@@ -34,61 +35,63 @@
 use crate::server_table::ServerState;
 use crate::server_table::ServerTable;
 
-/// Servers that a prompt segment is spread over.
+/// Number of servers over which the prompts with the same shared segment are spread.
 const SERVERS_PER_SEGMENT_MAX: usize = 2;
-/// Penalty for sending a prompt to its second server, in milliseconds.
-const SPREAD_MS: f64 = 250.0;
-/// The same where that server has the segment cached, in milliseconds.
-const SPREAD_CACHED_MS: f64 = 100.0;
+/// Penalty for sending a prompt to its second server if that server has not cached the segment, in
+/// milliseconds.
+const SECOND_SERVER_PENALTY_MS: f64 = 250.0;
+/// Penalty for sending a prompt to its second server if that server has cached the segment, in milliseconds.
+const SECOND_SERVER_CACHED_PENALTY_MS: f64 = 100.0;
 /// Time to transfer a prompt's shared segments between servers, in milliseconds.
 const TRANSFER_MS: f64 = 40.0;
-/// Penalty of a server in another failure domain for requests without a prompt, in milliseconds; the
-/// domains are half a millisecond apart each way.
-const OTHER_DOMAIN_MS: f64 = 1.0;
+/// Penalty of a server in another failure domain for requests without a prompt, in milliseconds. The latency
+/// between failure domains is half a millisecond each way.
+const OTHER_DOMAIN_PENALTY_MS: f64 = 1.0;
 
-/// The same in another region, in milliseconds; regions are some ten milliseconds apart each way.
-const OTHER_REGION_MS: f64 = 20.0;
+/// Penalty of a server in another region for requests without a prompt, in milliseconds. The latency between
+/// regions is about ten milliseconds each way.
+const OTHER_REGION_PENALTY_MS: f64 = 20.0;
 
-/// Which servers are looked at.
+/// The set of servers that are considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reach {
-    /// Those alone that can be connected to, and are in the own failure domain.
+enum CandidateScope {
+    /// Reachable servers in the own failure domain.
     OwnDomain,
-    /// Those alone that can be connected to, as far as is known.
+    /// Servers that are not known to be unreachable.
     Reachable,
-    /// All.
+    /// All servers.
     Any,
 }
 
-/// Everything that placement looks at; made anew for each decision.
+/// The inputs of placement, collected for each decision.
 #[derive(Clone, Copy)]
 pub(crate) struct Placer<'a> {
     pub(crate) servers: &'a ServerTable,
     pub(crate) reach: &'a DomainReach,
     pub(crate) prefixes: &'a PrefixMemory,
     pub(crate) own_domain: NameHash,
-    /// `None` if it is not known.
+    /// The region of this instance; `None` if it is unknown.
     pub(crate) own_region: Option<NameHash>,
-    /// The first-event model of the service that is called.
+    /// The first-event model of the called service.
     pub(crate) model: FirstEventModel,
     pub(crate) now: TimeMs,
 }
 
 impl Placer<'_> {
-    /// Chooses a server; `None` if the service has none that may be tried.
+    /// Chooses a server. Returns `None` if no server of the service may be tried.
     pub(crate) fn choose(&self, demand: &Demand<'_>) -> Option<Placement> {
-        let is_cut_off = demand.tried.iter().any(|key| self.is_beyond_a_cut(*key));
-        let in_own_domain = || self.choose_among(demand, Reach::OwnDomain);
-        is_cut_off
+        let is_partition_suspected = demand.tried.iter().any(|key| self.may_be_partitioned(*key));
+        let in_own_domain = || self.choose_among(demand, CandidateScope::OwnDomain);
+        is_partition_suspected
             .then(in_own_domain)
             .flatten()
-            .or_else(|| self.choose_among(demand, Reach::Reachable))
-            .or_else(|| self.choose_among(demand, Reach::Any))
+            .or_else(|| self.choose_among(demand, CandidateScope::Reachable))
+            .or_else(|| self.choose_among(demand, CandidateScope::Any))
     }
 
-    /// Tells whether a server that was tried is in another failure domain and did not answer: the next one elsewhere
-    /// may be beyond the same cut.
-    fn is_beyond_a_cut(&self, tried: ServerKey) -> bool {
+    /// Returns whether a tried server is unreachable and in another failure domain that may be partitioned.
+    /// If so, the next server outside the own failure domain may be behind the same partition.
+    fn may_be_partitioned(&self, tried: ServerKey) -> bool {
         let server = self.servers.get(tried);
         let domain = server.setup.failure_domain;
         domain != self.own_domain
@@ -96,42 +99,42 @@
             && self.reach.is_suspect(domain, self.now)
     }
 
-    fn is_within(&self, server: &ServerState, reach: Reach) -> bool {
+    fn is_in_scope(&self, server: &ServerState, scope: CandidateScope) -> bool {
         let domain = server.setup.failure_domain;
-        match reach {
-            Reach::OwnDomain => domain == self.own_domain && server.health.is_reachable(self.now),
-            Reach::Reachable => {
-                let is_near = domain == self.own_domain || self.reach.is_reachable(domain, self.now);
-                is_near && server.health.is_reachable(self.now)
+        match scope {
+            CandidateScope::OwnDomain => domain == self.own_domain && server.health.is_reachable(self.now),
+            CandidateScope::Reachable => {
+                let is_domain_reachable = domain == self.own_domain || self.reach.is_reachable(domain, self.now);
+                is_domain_reachable && server.health.is_reachable(self.now)
             }
-            Reach::Any => true,
+            CandidateScope::Any => true,
         }
     }
 
-    fn choose_among(&self, demand: &Demand<'_>, reach: Reach) -> Option<Placement> {
+    fn choose_among(&self, demand: &Demand<'_>, scope: CandidateScope) -> Option<Placement> {
         match demand.engine_prompt() {
-            Some(prompt) => self.choose_engine(demand, prompt, reach),
-            None => self.choose_plain(demand, reach),
+            Some(prompt) => self.choose_engine(demand, prompt, scope),
+            None => self.choose_plain(demand, scope),
         }
     }
 
-    /// Returns a server if it may be tried.
-    fn usable(&self, server: GroupedServer, demand: &Demand<'_>, reach: Reach) -> Option<&ServerState> {
+    /// Returns a server's state if the server may be tried.
+    fn usable(&self, server: GroupedServer, demand: &Demand<'_>, scope: CandidateScope) -> Option<&ServerState> {
         let state = self.servers.get(server.key);
-        let is_usable = self.is_within(state, reach)
+        let is_usable = self.is_in_scope(state, scope)
             && self.servers.takes_work(state, self.now)
             && demand.regions.allows(state.setup.region)
             && !demand.tried.contains(&server.key);
         is_usable.then_some(state)
     }
 
-    fn choose_plain(&self, demand: &Demand<'_>, reach: Reach) -> Option<Placement> {
+    fn choose_plain(&self, demand: &Demand<'_>, scope: CandidateScope) -> Option<Placement> {
         let own = u64::from(self.servers.own().0);
         let mut groups = self.servers.of_service(demand.service).beginning_with(own);
         let best = groups.find_map(|group| {
             let usable = group
                 .iter()
-                .filter_map(|server| Some((server.key, self.usable(*server, demand, reach)?)));
+                .filter_map(|server| Some((server.key, self.usable(*server, demand, scope)?)));
             let scored = usable.map(|(key, state)| (self.plain_score_ms(state, demand), key));
             scored.min_by(|(left, _), (right, _)| left.total_cmp(right))
         });
@@ -151,70 +154,71 @@
     fn plain_score_ms(&self, server: &ServerState, demand: &Demand<'_>) -> f64 {
         let load = f64::from(server.running()) / f64::from(server.setup.slots.max(1));
         let wait_ms = latency_estimate::plain_ms(server) * (1.0 + load);
-        wait_ms + self.far_ms(server) + self.penalty_ms(server, demand)
+        wait_ms + self.distance_penalty_ms(server) + self.health_penalty_ms(server, demand)
     }
 
-    /// Returns the penalty for the distance to a server, in milliseconds.
-    fn far_ms(&self, server: &ServerState) -> f64 {
+    /// Returns the penalty for a server in another region or failure domain, in milliseconds.
+    fn distance_penalty_ms(&self, server: &ServerState) -> f64 {
         let regions = self.own_region.zip(server.setup.region);
         if regions.is_some_and(|(own, other)| own != other) {
-            OTHER_REGION_MS
+            OTHER_REGION_PENALTY_MS
         } else if server.setup.failure_domain != self.own_domain {
-            OTHER_DOMAIN_MS
+            OTHER_DOMAIN_PENALTY_MS
         } else {
             0.0
         }
     }
 
-    fn choose_engine(&self, demand: &Demand<'_>, prompt: &Prompt, reach: Reach) -> Option<Placement> {
+    fn choose_engine(&self, demand: &Demand<'_>, prompt: &Prompt, scope: CandidateScope) -> Option<Placement> {
         let segment = prompt.last_shared()?;
         let mut groups = self.servers.of_service(demand.service).beginning_with(segment.id);
-        let ranked = groups.find_map(|group| self.rank(group, segment.id, demand, reach))?;
+        let ranked = groups.find_map(|group| self.rank(group, segment.id, demand, scope))?;
         let candidates = ranked.into_iter().flatten().map(|key| {
             let placement = self.place_prompt(demand, prompt, segment, key);
-            let spread_ms = self.spread_ms(segment, key, Some(key) == ranked[0]);
-            let penalty_ms = self.penalty_ms(self.servers.get(key), demand);
-            (placement, placement.expected_ms as f64 + spread_ms + penalty_ms)
+            let second_server_penalty_ms = self.second_server_penalty_ms(segment, key, Some(key) == ranked[0]);
+            let health_penalty_ms = self.health_penalty_ms(self.servers.get(key), demand);
+            (placement, placement.expected_ms as f64 + second_server_penalty_ms + health_penalty_ms)
         });
         candidates
             .min_by(|(_, left), (_, right)| left.total_cmp(right))
             .map(|(placement, _)| placement)
     }
 
-    /// Returns the usable servers of a group that rank first for a segment by rendezvous hashing, the first one first;
-    /// `None` if none is usable. A server is looked at only if it would rank among them.
+    /// Returns the usable servers of a group that rank highest for a segment by rendezvous hashing, in
+    /// descending order, or `None` if no server is usable. Usability is checked only for a server that would
+    /// rank among them.
     fn rank(
         &self,
         group: &[GroupedServer],
         segment: u64,
         demand: &Demand<'_>,
-        reach: Reach,
+        scope: CandidateScope,
     ) -> Option<[Option<ServerKey>; SERVERS_PER_SEGMENT_MAX]> {
         let mut ranked: [Option<(u64, ServerKey)>; SERVERS_PER_SEGMENT_MAX] = [None; SERVERS_PER_SEGMENT_MAX];
         for server in group {
             let weight = server.name.rendezvous_weight(segment);
             let outranks = |other: &Option<(u64, ServerKey)>| other.is_none_or(|(other, _)| weight > other);
-            let Some(place) = ranked.iter().position(outranks) else {
+            let Some(position) = ranked.iter().position(outranks) else {
                 continue;
             };
-            if self.usable(*server, demand, reach).is_some() {
-                ranked[place..].rotate_right(1);
-                ranked[place] = Some((weight, server.key));
+            if self.usable(*server, demand, scope).is_some() {
+                ranked[position..].rotate_right(1);
+                ranked[position] = Some((weight, server.key));
             }
         }
         ranked[0]?;
         Some(ranked.map(|server| server.map(|(_, key)| key)))
     }
 
-    fn spread_ms(&self, segment: PromptSegment, server: ServerKey, is_first: bool) -> f64 {
+    fn second_server_penalty_ms(&self, segment: PromptSegment, server: ServerKey, is_first: bool) -> f64 {
         match (is_first, self.prefixes.has(segment.id, server, self.now)) {
             (true, _) => 0.0,
-            (false, true) => SPREAD_CACHED_MS,
-            (false, false) => SPREAD_MS,
+            (false, true) => SECOND_SERVER_CACHED_PENALTY_MS,
+            (false, false) => SECOND_SERVER_PENALTY_MS,
         }
     }
 
-    /// Works out what sending a prompt to a server would take.
+    /// Estimates the placement of a prompt on a server.
     fn place_prompt(
         &self,
         demand: &Demand<'_>,
@@ -243,8 +247,8 @@
         }
     }
 
-    /// Returns how many tokens of a prompt a server has to prefill: those from the first segment on that
-    /// it is not known to have cached.
+    /// Returns the number of prompt tokens that a server has to prefill: those from the first segment on that
+    /// the server is not known to have cached.
     fn prefill_tokens(&self, prompt: &Prompt, server: ServerKey) -> u32 {
         let cached: u32 = prompt
             .shared_segments()
@@ -255,8 +259,8 @@
         prompt.tokens().saturating_sub(cached).max(1)
     }
 
-    /// Returns a server that is likely to have cached what the chosen one is likely to lack, in a region where the
-    /// request may run: a transfer is a copy of its prompt.
+    /// Returns a server that probably has a cached segment that the chosen server lacks. The server must be
+    /// in a region where the request may run, because a transfer copies its prompt.
     fn cache_source(&self, demand: &Demand<'_>, segment: u64, chosen: ServerKey) -> Option<ServerKey> {
         if self.prefixes.has(segment, chosen, self.now) {
             return None;
@@ -270,7 +274,7 @@
         })
     }
 
-    fn penalty_ms(&self, server: &ServerState, demand: &Demand<'_>) -> f64 {
+    fn health_penalty_ms(&self, server: &ServerState, demand: &Demand<'_>) -> f64 {
         server.health.penalty_ms(demand.latency_target_ms, self.now)
     }
 }
--- a/crates/reedsail_dispatch/src/prefix_memory.rs
+++ b/crates/reedsail_dispatch/src/prefix_memory.rs
@@ -1,8 +1,8 @@
-//! Prefix memory: which backend servers were recently sent which prompt segments, by any instance.
+//! Prefix memory: the prompt segments that any instance recently sent to each backend server.
 //!
-//! A hint, never a truth: a server may have dropped a segment for want of memory, which costs reading
-//! it again. Owns the segments that the next reports are to name. Relies on the caller to record what
-//! is sent and what peers report.
+//! The entries are hints. A server may have evicted a segment from its cache, which costs prefilling the
+//! segment again. Owns the rows for the next load reports. The caller records segments that are sent and
+//! segments that peers report.
 //!
 //! Tested by `tests/placement.rs` and `tests/decision_trace.rs`.
 
@@ -15,35 +15,35 @@
 
 use crate::PrefixRow;
 
-/// Segments that are remembered at most; bounds the memory to about a megabyte.
+/// Maximum number of segments in the table, which bounds its memory to about a megabyte.
 const SEGMENTS_MAX: usize = 8_192;
-/// How long a server is taken to have a segment cached that nobody used since, in milliseconds.
-const CACHED_MS: u64 = 20_000;
-/// Interval at which a segment in use is reported to peers again, in milliseconds.
-const REPORT_AGAIN_MS: u64 = 5_000;
-/// Reports that a row stands in, since a report may be lost.
+/// How long a server is assumed to keep a cached segment after its last use, in milliseconds.
+const CACHE_LIFETIME_MS: u64 = 20_000;
+/// Interval at which a segment that stays in use is reported to peers again, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 5_000;
+/// Number of reports that include the same row, because a report may be lost.
 const REPORTS_PER_ROW: u8 = 2;
-/// Rows of one report at most, which keeps a datagram under 4 kB.
+/// Maximum number of rows in a report, which keeps a datagram under 4 kB.
 const ROWS_MAX: usize = 256;
 
-/// Returns the hash by which instances speak of a segment.
+/// Returns the hash that identifies a segment in load reports.
 fn segment_hash(id: u64) -> u32 {
     XxHash64::oneshot(0, &id.to_le_bytes()) as u32
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct Holder {
     server: ServerKey,
     used_at: TimeMs,
-    /// When it was last reported to peers; zero for never.
+    /// When the entry was last reported to peers; zero if never.
     reported_at: TimeMs,
 }
 
-/// The servers of each segment, by the segment's hash.
+/// The servers that recently got each segment, by the segment's hash.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrefixMemory {
-    segments: HashMap<u32, Vec<Use>>,
-    /// Rows for the next reports, with the number of reports that each is still to stand in.
+    segments: HashMap<u32, Vec<Holder>>,
+    /// Rows for the next reports, each with the number of remaining reports that include it.
     unreported: Vec<(PrefixRow, u8)>,
 }
 
@@ -52,9 +52,9 @@
     pub(crate) fn record_sent(&mut self, id: u64, server: ServerKey, name: NameHash, now: TimeMs) {
         let segment = segment_hash(id);
         let reported_at = self
-            .find(segment, server)
-            .map_or(TimeMs(0), |known| known.reported_at);
-        let is_due = reported_at == TimeMs(0) || now.since_ms(reported_at) >= REPORT_AGAIN_MS;
+            .find_holder(segment, server)
+            .map_or(TimeMs(0), |holder| holder.reported_at);
+        let is_due = reported_at == TimeMs(0) || now.since_ms(reported_at) >= REPORT_INTERVAL_MS;
         let reported_at = if is_due { now } else { reported_at };
         self.insert(segment, server, reported_at, now);
         if is_due {
@@ -66,24 +66,24 @@
         }
     }
 
-    /// Records that a peer reported the same, under the segment's hash.
+    /// Records that a peer reported sending a segment, identified by its hash, to a server.
     pub(crate) fn record_reported(&mut self, segment: u32, server: ServerKey, now: TimeMs) {
         self.insert(segment, server, now, now);
     }
 
-    /// Tells whether a server is likely to have a segment cached.
+    /// Returns whether a server probably has a segment cached.
     pub(crate) fn has(&self, id: u64, server: ServerKey, now: TimeMs) -> bool {
         self.holders(id, now).any(|holder| holder == server)
     }
 
-    /// Returns the servers that are likely to have a segment cached.
+    /// Returns the servers that probably have a segment cached.
     pub(crate) fn holders(&self, id: u64, now: TimeMs) -> impl Iterator<Item = ServerKey> {
         self.segments
             .get(&segment_hash(id))
             .into_iter()
             .flatten()
-            .filter(move |known| now.since_ms(known.used_at) < CACHED_MS)
-            .map(|known| known.server)
+            .filter(move |holder| now.since_ms(holder.used_at) < CACHE_LIFETIME_MS)
+            .map(|holder| holder.server)
     }
 
     /// Returns the rows for the next load report.
@@ -97,37 +97,37 @@
         rows
     }
 
-    fn find(&self, segment: u32, server: ServerKey) -> Option<&Use> {
-        let known = self.segments.get(&segment)?;
-        known.iter().find(|known| known.server == server)
+    fn find_holder(&self, segment: u32, server: ServerKey) -> Option<&Holder> {
+        let holders = self.segments.get(&segment)?;
+        holders.iter().find(|holder| holder.server == server)
     }
 
     fn insert(&mut self, segment: u32, server: ServerKey, reported_at: TimeMs, now: TimeMs) {
         if self.segments.len() >= SEGMENTS_MAX && !self.segments.contains_key(&segment) {
-            self.drop_old(now);
+            self.evict(now);
         }
-        let known = self.segments.entry(segment).or_default();
-        known.retain(|known| known.server != server && now.since_ms(known.used_at) < CACHED_MS);
-        known.push(Use {
+        let holders = self.segments.entry(segment).or_default();
+        holders.retain(|holder| holder.server != server && now.since_ms(holder.used_at) < CACHE_LIFETIME_MS);
+        holders.push(Holder {
             server,
             used_at: now,
             reported_at,
         });
     }
 
-    /// Makes room: drops segments that nobody has cached any more, or the half that was used longest ago
-    /// where none has expired. Dropping all would have every prompt read anew at once.
-    fn drop_old(&mut self, now: TimeMs) {
+    /// Evicts segments that no server has cached any more. If none has expired, evicts the least recently
+    /// used half. Evicting all segments would make the servers prefill every prompt again at once.
+    fn evict(&mut self, now: TimeMs) {
         self.segments
-            .retain(|_, known| known.iter().any(|known| now.since_ms(known.used_at) < CACHED_MS));
+            .retain(|_, holders| holders.iter().any(|holder| now.since_ms(holder.used_at) < CACHE_LIFETIME_MS));
         if self.segments.len() < SEGMENTS_MAX {
             return;
         }
-        let used_at = |known: &Vec<Use>| known.iter().map(|known| known.used_at).max();
-        let mut moments: Vec<Option<TimeMs>> = self.segments.values().map(used_at).collect();
-        let middle = moments.len() / 2;
-        let (_, median, _) = moments.select_nth_unstable(middle);
+        let last_used_at = |holders: &Vec<Holder>| holders.iter().map(|holder| holder.used_at).max();
+        let mut use_times: Vec<Option<TimeMs>> = self.segments.values().map(last_used_at).collect();
+        let middle = use_times.len() / 2;
+        let (_, median, _) = use_times.select_nth_unstable(middle);
         let median = *median;
-        self.segments.retain(|_, known| used_at(known) > median);
+        self.segments.retain(|_, holders| last_used_at(holders) > median);
     }
 }
--- a/crates/reedsail_dispatch/src/quarantine.rs
+++ b/crates/reedsail_dispatch/src/quarantine.rs
@@ -1,20 +1,24 @@
-//! Quarantine: which requests are not sent any more since servers end under them.
+//! Quarantine: which requests are no longer sent because servers end while running them.
 //!
-//! **Rule.** A request is suspected of the end of each server at which its connection broke when the server ended
-//! (`server_ends`). Once [`SERVERS_TO_QUARANTINE`] different starts of servers have ended under it, and none has
-//! answered it whole since, it is refused at every instance. A whole answer, wherever it was seen, clears it. What
-//! is known of a request is forgotten [`KEPT_MS`] after it last came.
+//! **Rule.** A request is suspected of the end of a server if its connection broke when that server ended
+//! (`server_ends`). A request is quarantined, and every instance refuses it, once [`SERVERS_TO_QUARANTINE`]
+//! different starts of servers have ended while running it and none has answered it completely since. A
+//! complete answer at any instance clears the request. A suspected request is forgotten [`SUSPECT_KEPT_MS`]
+//! after it was last seen.
 //!
-//! **Inputs.** Ends of servers with the requests that broke off there, whole answers, peers' rows.
+//! **Inputs.** Ends of servers with the requests that broke off there, complete answers, peers' rows.
 //!
-//! **Why.** A request that crashes an engine takes down everything that runs there, and its returns enter at other
-//! instances as new requests. Which of the requests on a crashed server is to blame shows in nothing but that it is
-//! there again when the next one ends; the others are answered when they return. Servers that end together are one
-//! end each to hundreds of requests, but three in a row, with no answer, to hardly any.
+//! **Why.** A request that crashes an engine takes down everything that runs there, and its retries arrive at
+//! other instances as new requests. The request that caused a crash shows only by being present again when
+//! the next server ends; the other requests on a crashed server are answered when they are retried. If
+//! several servers end together, hundreds of requests see one end each, but hardly any request sees three
+//! ends in a row without an answer.
 //!
-//! **Spread.** Each instance tells what it has seen itself, and everything of requests under which two servers or
-//! more have ended, in its load reports: for [`ANNOUNCE_MS`] when it is new or a peer has come, and again in each
-//! [`ANNOUNCE_EVERY_MS`] for what was lost on the way. Ends form a set, so what is heard twice counts once.
+//! **Spread.** In its load reports, each instance announces the suspected requests that it has observed
+//! itself, and all requests for which two or more servers have ended. It announces a request for
+//! [`ANNOUNCE_DURATION_MS`] when the request is new or a peer has joined, and again every
+//! [`ANNOUNCE_INTERVAL_MS`] to make up for lost reports. The ends of a request form a set, so an end that is
+//! received twice counts once.
 //!
 //! **Tested by** `tests/quarantine.rs`, and `tests/poison_request.rs` of `reedsail_simulation`.
 
@@ -28,42 +32,43 @@
 use crate::BrokenRequest;
 use crate::SuspectRow;
 
-/// Servers that end under a request before it is quarantined: the users bear with three.
+/// Number of servers that end while running a request before it is quarantined. Users tolerate three.
 pub const SERVERS_TO_QUARANTINE: usize = 3;
-/// How long a request is remembered after it last came, in milliseconds: long enough for a caller who tries again
-/// now and then, and short enough that a release which mends the engine is used soon.
-const KEPT_MS: u64 = 600_000;
-/// How long news of a request is told, in milliseconds: five reports of the smallest fleets, some of which may be
-/// lost.
-const ANNOUNCE_MS: u64 = 500;
-/// Interval at which what is known is told again, in milliseconds: shorter than the 3,000 ms in which an instance
-/// must know what others know.
-const ANNOUNCE_EVERY_MS: u64 = 2_000;
-/// How much earlier than an end an answer may be and still clear it, in milliseconds: both are told by ages, which
-/// miss the time that they were on their way.
+/// How long a suspected request is kept after it was last seen, in milliseconds: long enough for a caller
+/// that retries occasionally, and short enough that a release that fixes the engine takes effect soon.
+const SUSPECT_KEPT_MS: u64 = 600_000;
+/// How long a change of a request is announced, in milliseconds: five report intervals of the smallest
+/// fleets, because some reports may be lost.
+const ANNOUNCE_DURATION_MS: u64 = 500;
+/// Interval at which suspected requests are announced again, in milliseconds: shorter than the 3,000 ms
+/// within which an instance must learn what its peers know.
+const ANNOUNCE_INTERVAL_MS: u64 = 2_000;
+/// How much earlier than an end an answer may be and still clear it, in milliseconds. Reports contain the
+/// ages of both, which do not include the transmission time.
 const CLEAR_SLACK_MS: u64 = 1_000;
-/// Requests that are remembered for one workspace at most, so that one with many cannot drive out others'.
+/// Maximum number of suspected requests of a workspace, so that a workspace with many cannot evict those of
+/// others.
 const WORKSPACE_SUSPECTS_MAX: usize = 256;
-/// Requests that are remembered at most, some 0.5 MB.
+/// Maximum number of suspected requests, about 0.5 MB.
 const SUSPECTS_MAX: usize = 4_096;
-/// Rows of one report at most: 2 kB.
+/// Maximum number of rows in a report: 2 kB.
 const ROWS_MAX: usize = 64;
 
-/// What is known of one request.
+/// What an instance knows about a suspected request.
 #[derive(Clone, Debug)]
 struct Suspect {
     workspace: NameHash,
-    /// Starts of servers that ended under it; once it is quarantined, no more are added.
+    /// Starts of servers that ended while running the request. No more are added once it is quarantined.
     servers: Vec<NameHash>,
-    /// When the last of them ended.
+    /// When the last of these servers ended.
     ended_at: TimeMs,
-    /// When it was last answered whole.
+    /// When the request was last answered completely.
     answered_at: Option<TimeMs>,
-    /// When it last came, ended a server or was answered.
+    /// When the request last arrived, was present at the end of a server, or was answered.
     seen_at: TimeMs,
     announced_until: TimeMs,
-    /// This instance has seen an end or an answer of it, and is the one that tells it.
-    is_own: bool,
+    /// Whether this instance has observed an end or an answer itself, and therefore announces the request.
+    is_observed_here: bool,
 }
 
 impl Suspect {
@@ -75,7 +80,7 @@
             answered_at: None,
             seen_at: now,
             announced_until: TimeMs(0),
-            is_own: false,
+            is_observed_here: false,
         }
     }
 
@@ -83,16 +88,16 @@
         self.servers.len() >= SERVERS_TO_QUARANTINE
     }
 
-    /// Tells whether an answer clears an end.
+    /// Returns whether an answer clears an end.
     fn clears(answered_at: TimeMs, ended_at: TimeMs) -> bool {
         ended_at <= answered_at.plus_ms(CLEAR_SLACK_MS)
     }
 
     fn is_announced(&self, fingerprint: Fingerprint, now: TimeMs) -> bool {
-        let tells = self.is_own || self.servers.len() > 1;
-        // Requests are told at different moments, so that reports stay small.
-        let phase = now.0.wrapping_add(fingerprint.0 as u64 % ANNOUNCE_EVERY_MS) % ANNOUNCE_EVERY_MS;
-        tells && (now < self.announced_until || phase < ANNOUNCE_MS)
+        let is_announcer = self.is_observed_here || self.servers.len() > 1;
+        // Requests are announced in different phases, so that reports stay small.
+        let phase = now.0.wrapping_add(fingerprint.0 as u64 % ANNOUNCE_INTERVAL_MS) % ANNOUNCE_INTERVAL_MS;
+        is_announcer && (now < self.announced_until || phase < ANNOUNCE_DURATION_MS)
     }
 
     fn row(&self, fingerprint: Fingerprint, now: TimeMs) -> SuspectRow {
@@ -107,34 +112,34 @@
     }
 }
 
-/// Returns an age for a row; the longest stands for longer ones.
+/// Returns the age for a row, saturated at the largest value of the field.
 fn age_ms(at: TimeMs, now: TimeMs) -> u32 {
     u32::try_from(now.since_ms(at)).unwrap_or(u32::MAX)
 }
 
-fn moment(ms_ago: u32, now: TimeMs) -> TimeMs {
+fn time_ago(ms_ago: u32, now: TimeMs) -> TimeMs {
     TimeMs(now.0.saturating_sub(u64::from(ms_ago)))
 }
 
-/// What has changed for a request.
+/// A change of a request's quarantine state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// It is not sent any more.
+    /// The request is no longer sent.
     Quarantined,
-    /// It was answered, and may be sent again.
+    /// The request was answered and may be sent again.
     Cleared,
-    /// It has not come for long, and may be sent again.
+    /// The request was not seen for a long time and may be sent again.
     Forgotten,
 }
 
-/// A request that was quarantined, or is no more.
+/// A request that entered or left quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineEvent {
-    /// The request.
+    /// The request's fingerprint.
     pub fingerprint: Fingerprint,
-    /// The workspace that it counts against.
+    /// The workspace that the request is charged to.
     pub workspace: NameHash,
-    /// What has changed.
+    /// The change of its quarantine state.
     pub change: QuarantineChange,
 }
 
@@ -146,15 +151,15 @@
 }
 
 impl Quarantine {
-    /// Records that a server ended under a request of this instance.
+    /// Records that a server ended while running a request of this instance.
     pub(crate) fn record_end(&mut self, request: &BrokenRequest, server: NameHash, now: TimeMs) {
         let suspect = self.suspect(request.fingerprint, request.workspace, now);
-        suspect.is_own = true;
+        suspect.is_observed_here = true;
         suspect.seen_at = now;
         self.add_ends(request.fingerprint, &[server], request.broke_at, now);
     }
 
-    /// Records that a request was answered whole here.
+    /// Records that this instance received a complete answer to a request.
     pub(crate) fn record_answer(&mut self, fingerprint: Fingerprint, now: TimeMs) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
@@ -162,12 +167,12 @@
         if suspect.servers.is_empty() {
             return;
         }
-        suspect.is_own = true;
+        suspect.is_observed_here = true;
         suspect.seen_at = now;
         self.clear(fingerprint, now, now);
     }
 
-    /// Tells whether a request must not be sent.
+    /// Returns whether a request must not be sent, and records that it was seen.
     pub(crate) fn refuses(&mut self, fingerprint: Fingerprint, now: TimeMs) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
@@ -176,24 +181,25 @@
         suspect.is_quarantined()
     }
 
-    /// Tells everything at once to a peer that has just come: one that starts into a fleet knows nothing, and sent
-    /// such a request once more itself, while its turn in [`ANNOUNCE_EVERY_MS`] was up to two seconds away.
+    /// Announces all suspected requests at once, for a peer that has just joined. A newly started instance
+    /// knows no suspects. It would send a quarantined request once more itself, since the next announcement
+    /// within [`ANNOUNCE_INTERVAL_MS`] may be up to two seconds away.
     pub(crate) fn announce_all(&mut self, now: TimeMs) {
         for suspect in self.suspects.values_mut() {
-            suspect.announced_until = now.plus_ms(ANNOUNCE_MS);
+            suspect.announced_until = now.plus_ms(ANNOUNCE_DURATION_MS);
         }
     }
 
-    /// Takes in a peer's rows.
+    /// Merges a peer's rows.
     pub(crate) fn merge(&mut self, rows: &[SuspectRow], now: TimeMs) {
         for row in rows {
-            if u64::from(row.seen_ms_ago) >= KEPT_MS {
+            if u64::from(row.seen_ms_ago) >= SUSPECT_KEPT_MS {
                 continue;
             }
-            let seen_at = moment(row.seen_ms_ago, now);
+            let seen_at = time_ago(row.seen_ms_ago, now);
             let suspect = self.suspect(row.fingerprint, row.workspace, now);
             suspect.seen_at = suspect.seen_at.max(seen_at);
-            let changed_at = moment(row.changed_ms_ago, now);
+            let changed_at = time_ago(row.changed_ms_ago, now);
             if row.servers.is_empty() {
                 self.clear(row.fingerprint, changed_at, now);
             } else {
@@ -202,15 +208,15 @@
         }
     }
 
-    /// Adds ends that are not known yet, unless an answer has cleared them.
+    /// Adds unknown ends of servers, unless an answer has cleared them.
     fn add_ends(&mut self, fingerprint: Fingerprint, servers: &[NameHash], ended_at: TimeMs, now: TimeMs) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
         let answered_at = suspect.answered_at;
         if answered_at.is_some_and(|answered_at| Suspect::clears(answered_at, ended_at)) {
-            // Whoever still tells these ends has not heard of the answer.
-            suspect.announced_until = now.plus_ms(ANNOUNCE_MS);
+            // A peer that still announces these ends has not received the answer.
+            suspect.announced_until = now.plus_ms(ANNOUNCE_DURATION_MS);
             return;
         }
         let was_quarantined = suspect.is_quarantined();
@@ -222,14 +228,14 @@
         }
         if suspect.servers.len() > known {
             suspect.ended_at = suspect.ended_at.max(ended_at);
-            suspect.announced_until = now.plus_ms(ANNOUNCE_MS);
+            suspect.announced_until = now.plus_ms(ANNOUNCE_DURATION_MS);
         }
         if suspect.is_quarantined() && !was_quarantined {
             self.report(fingerprint, QuarantineChange::Quarantined);
         }
     }
 
-    /// Takes in an answer, at this moment, that clears what ended before it.
+    /// Records an answer at `answered_at`, which clears the ends before it.
     fn clear(&mut self, fingerprint: Fingerprint, answered_at: TimeMs, now: TimeMs) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
@@ -240,18 +246,18 @@
         }
         let was_quarantined = suspect.is_quarantined();
         suspect.servers.clear();
-        suspect.announced_until = now.plus_ms(ANNOUNCE_MS);
+        suspect.announced_until = now.plus_ms(ANNOUNCE_DURATION_MS);
         if was_quarantined {
             self.report(fingerprint, QuarantineChange::Cleared);
         }
     }
 
-    /// Forgets what has not come for long.
+    /// Forgets requests that were not seen for [`SUSPECT_KEPT_MS`].
     pub(crate) fn tick(&mut self, now: TimeMs) {
-        let is_old = |suspect: &Suspect| now.since_ms(suspect.seen_at) >= KEPT_MS;
-        let old = self.suspects.iter().filter(|(_, suspect)| is_old(suspect));
-        let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| *fingerprint).collect();
-        for fingerprint in old {
+        let is_expired = |suspect: &Suspect| now.since_ms(suspect.seen_at) >= SUSPECT_KEPT_MS;
+        let expired = self.suspects.iter().filter(|(_, suspect)| is_expired(suspect));
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in expired {
             self.forget(fingerprint);
         }
     }
@@ -277,18 +283,18 @@
         }
     }
 
-    /// Returns what has changed since the last call.
+    /// Returns the changes since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<QuarantineEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Returns how many requests are quarantined.
+    /// Returns the number of quarantined requests.
     pub(crate) fn count(&self) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|suspect| suspect.is_quarantined()).count()
     }
 
-    /// Returns the rows for the next load report: those with the most ends first, then the newest.
+    /// Returns the rows for the next load report: those with the most ends first, then the newest ones.
     pub(crate) fn rows(&self, now: TimeMs) -> Vec<SuspectRow> {
         let announced = self
             .suspects
@@ -303,7 +309,7 @@
 
     fn suspect(&mut self, fingerprint: Fingerprint, workspace: NameHash, now: TimeMs) -> &mut Suspect {
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room(workspace);
+            self.evict_if_full(workspace);
         }
         let suspects = &mut self.suspects;
         suspects
@@ -311,28 +317,29 @@
             .or_insert_with(|| Suspect::new(workspace, now))
     }
 
-    /// Forgets a request of the same workspace if it has too many, or of the one with the most if there are too
-    /// many in all: the one with the fewest ends that has not come for the longest time.
-    fn make_room(&mut self, workspace: NameHash) {
+    /// Evicts a request before a request of `workspace` is added, if there are too many: a request of this
+    /// workspace if it has too many itself, or one of the workspace with the most if the total is too high.
+    /// The evicted request is the one with the fewest ends and, among these, the one seen least recently.
+    fn evict_if_full(&mut self, workspace: NameHash) {
         let of_workspace = |workspace: NameHash| {
             let suspects = self.suspects.values();
             suspects
                 .filter(move |suspect| suspect.workspace == workspace)
                 .count()
         };
-        let crowded = if of_workspace(workspace) >= WORKSPACE_SUSPECTS_MAX {
+        let evicted_workspace = if of_workspace(workspace) >= WORKSPACE_SUSPECTS_MAX {
             workspace
         } else if self.suspects.len() >= SUSPECTS_MAX {
             self.largest_workspace()
         } else {
             return;
         };
-        let of_crowded = self
+        let evictable = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| suspect.workspace == crowded);
-        let least = of_crowded.min_by_key(|(_, suspect)| (suspect.servers.len(), suspect.seen_at));
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            .filter(|(_, suspect)| suspect.workspace == evicted_workspace);
+        let evicted = evictable.min_by_key(|(_, suspect)| (suspect.servers.len(), suspect.seen_at));
+        if let Some(fingerprint) = evicted.map(|(fingerprint, _)| *fingerprint) {
             self.forget(fingerprint);
         }
     }
--- a/crates/reedsail_dispatch/src/retry.rs
+++ b/crates/reedsail_dispatch/src/retry.rs
@@ -1,20 +1,20 @@
 //! Retry: whether a request may be attempted again, and whether the retry budget has room.
 //!
-//! **Rule.** An attempt that was never sent is free to be made again. One that the server rejected
-//! without running it costs a retry of the budget. One that may have run is retried only on a
-//! repeatable route, up to the route's attempts, within the budget. A stream that broke goes on
-//! elsewhere only on a resumable route, up to as many servers as the route has attempts, within the
-//! budget. The budget of a service on one instance is a fraction of its requests over a sliding window,
-//! plus this instance's share of the fleet's slack.
+//! **Rule.** An attempt that was never sent may be repeated for free. An attempt that the server rejected
+//! without running it may be repeated within the budget. An attempt that may have run is retried only on a
+//! repeatable route, up to the route's attempts, within the budget. A broken stream is resumed on another
+//! server only on a resumable route, up to as many servers as the route has attempts, within the budget. The
+//! budget of a service on one instance is a fraction of its requests over a sliding window, plus this
+//! instance's share of the fleet's slack.
 //!
-//! **Inputs.** How the last attempt failed; the route's policy; requests and retries of the window;
+//! **Inputs.** The failure of the last attempt; the route's policy; requests and retries of the window;
 //! the number of instances; settings `dispatch.repeat_*`.
 //!
-//! **Why.** Each instance holds to the ratio by its own requests, so the fleet keeps its bound without
-//! a message. The window here is a bucket longer than the one that the users judge, so that no judged
-//! window holds more.
+//! **Why.** Each instance keeps the ratio for its own requests, so the fleet stays within its bound without a
+//! message. This window is one bucket longer than the window over which users judge retries, so that no
+//! judged window contains more.
 //!
-//! **Tested by** `tests/retry.rs`, `tests/shares.rs` (`repeats_stay_within…`).
+//! **Tested by** `tests/retry.rs`, `tests/shares.rs` (`retries_stay_within…`).
 
 use std::collections::HashMap;
 
@@ -23,22 +23,22 @@
 
 use crate::DispatchSettings;
 
-/// Attempts of one request at most, those that reached no server included.
+/// Maximum number of attempts of a request, including those that reached no server.
 pub const ATTEMPTS_MAX: usize = 6;
-/// Times that one stream goes on elsewhere at most.
+/// Maximum number of times that a stream is resumed on another server.
 pub const RESUMES_MAX: usize = 3;
-/// Buckets of a window.
+/// Number of buckets in a window.
 const BUCKETS: usize = 10;
-/// Fewest instances that the fleet's slack is divided among, so that one that knows no peers does not
-/// take all of it: the smallest deployment of the users has as many.
-const INSTANCES_MIN: usize = 8;
+/// Minimum number of instances among which the fleet's slack is divided, so that an instance that knows no
+/// peers does not take all of it. The smallest deployment of the users has this many instances.
+const SLACK_INSTANCES_MIN: usize = 8;
 
-/// What a route allows.
+/// Retries that a route allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// A request that may have run may run again, or its stream may go on elsewhere.
+    /// Whether a request that may have run may run again, or its stream may resume on another server.
     pub is_repeatable: bool,
-    /// Servers that one request may run on.
+    /// Maximum number of servers that a request may run on.
     pub attempts_max: u32,
 }
 
@@ -47,16 +47,16 @@
 pub enum AttemptFailure {
     /// No byte was sent.
     NotSent,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     Rejected,
-    /// It may have run, and may be the last of several that did.
+    /// The attempt may have run.
     MayHaveRun {
-        /// Attempts of this request that may have run.
+        /// Number of attempts of this request that may have run, this one included.
         attempts: u32,
     },
     /// A stream broke after it had begun.
     StreamBroken {
-        /// Servers that were tried for this request.
+        /// Number of servers that were tried for this request.
         servers_tried: usize,
     },
 }
@@ -64,16 +64,16 @@
 /// Whether another attempt is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryVerdict {
-    /// It is not.
+    /// Not allowed.
     Never,
-    /// It is, and costs nothing.
+    /// Allowed without using the retry budget.
     Free,
-    /// It is if the retry budget has room.
+    /// Allowed if the retry budget has room.
     WithinBudget,
 }
 
 impl RetryPolicy {
-    /// Decides after a failed attempt.
+    /// Returns whether another attempt is allowed after a failed one.
     pub fn after(self, failure: AttemptFailure) -> RetryVerdict {
         let is_allowed = match failure {
             AttemptFailure::NotSent => return RetryVerdict::Free,
@@ -98,12 +98,13 @@
 }
 
 impl RetryBudgets {
-    /// Counts a request as it arrives.
+    /// Counts an arriving request.
     pub(crate) fn count_request(&mut self, service: NameHash, settings: &DispatchSettings, now: TimeMs) {
         self.window(service, settings).count_request(now);
     }
 
-    /// Takes a retry from a service's budget, if a fleet of `instances` leaves room for it.
+    /// Takes a retry from a service's budget in a fleet of `instances`. Returns `false` if the budget has no
+    /// room.
     pub(crate) fn take(
         &mut self,
         service: NameHash,
@@ -111,7 +112,7 @@
         settings: &DispatchSettings,
         now: TimeMs,
     ) -> bool {
-        let instances = instances.max(INSTANCES_MIN);
+        let instances = instances.max(SLACK_INSTANCES_MIN);
         let slack = settings.retry_slack / instances as f64;
         self.window(service, settings)
             .take(settings.retry_ratio, slack, now)
@@ -147,12 +148,13 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts an arriving request.
     pub fn count_request(&mut self, now: TimeMs) {
         self.bucket(now).requests += 1;
     }
 
-    /// Counts a retry if `ratio` of the requests plus `slack` have room for it; `false` if not.
+    /// Counts a retry if the budget, `ratio` times the requests plus `slack`, has room for it. Returns
+    /// `false` if not.
     pub fn take(&mut self, ratio: f64, slack: f64, now: TimeMs) -> bool {
         let (requests, retries) = self.totals(now);
         if f64::from(retries) + 1.0 > ratio * f64::from(requests) + slack {
--- a/crates/reedsail_dispatch/src/settings.rs
+++ b/crates/reedsail_dispatch/src/settings.rs
@@ -1,19 +1,19 @@
-//! The figures of the decisions that operators may set; docs/ROUTER.md lists their keys.
+//! The decision parameters that operators may set. docs/ROUTER.md lists their keys.
 
 /// Settings of the decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchSettings {
-    /// Retries for each request of a service (a ratio). Key `dispatch.repeat_ratio`.
+    /// Maximum ratio of retries to requests of a service. Key `dispatch.repeat_ratio`.
     pub retry_ratio: f64,
     /// Window over which retries are counted, in milliseconds. Key `dispatch.repeat_window_ms`.
     pub retry_window_ms: u64,
-    /// Retries that a service's window may hold beyond the ratio, over the whole fleet. Key
+    /// Retries of a service that the whole fleet may make beyond the ratio within a window. Key
     /// `dispatch.repeat_slack`.
     pub retry_slack: f64,
-    /// Window over which a workspace's use is compared with its fair share, in milliseconds. Key
+    /// Window over which a workspace's usage is compared with its fair share, in milliseconds. Key
     /// `dispatch.share_window_ms`.
     pub share_window_ms: u64,
-    /// How long a peer's load report counts, in milliseconds. Key `dispatch.report_valid_ms`.
+    /// How long a peer's load report is valid, in milliseconds. Key `dispatch.report_valid_ms`.
     pub report_valid_ms: u64,
 }
 
--- a/crates/reedsail_dispatch/src/shutdown.rs
+++ b/crates/reedsail_dispatch/src/shutdown.rs
@@ -1,14 +1,16 @@
-//! Shutdown: which requests are taken while the instance stops.
+//! Shutdown: which requests are accepted while the instance stops.
 //!
-//! **Rule.** Until `stop.accept_ms` after the signal every request is taken. Later ones are taken only
-//! if their own deadline, and [`LAST_ANSWER_MS`] for the answer, come before the process ends.
+//! **Rule.** Until `stop.accept_ms` after the signal, every request is accepted. Later requests are accepted
+//! only if their own deadline, plus [`ANSWER_DELIVERY_MAX_MS`] for the answer, is before the end of the
+//! process.
 //!
-//! **Inputs.** The moments of the stop, the request's deadline (the caller's, or the route's time-out if
-//! that is sooner).
+//! **Inputs.** The times of the stop; the request's deadline (the caller's deadline, or the route's timeout
+//! if that is sooner).
 //!
-//! **Why.** Callers notice a stop late: the balancer goes on sending for a while, and beyond that uses a
-//! failure domain in which all instances stop. Refusing all of them cost 412 answers on one incident
-//! (docs/incidents/01-rolling-restart.md). A request that could outlive the process would be cut off.
+//! **Why.** Callers notice a stop late: the load balancer keeps sending for a while, and continues to use a
+//! failure domain in which all instances are stopping. Refusing all of these requests cost 412 answers in one
+//! incident (docs/incidents/01-rolling-restart.md). A request that could outlive the process would be cut
+//! off.
 //!
 //! **Tested by** `reedsail_router`'s `tests/beliefs.rs` (`late_in_a_stop…`, `a_planned_stop…`).
 
@@ -17,24 +19,24 @@
 
 use reedsail_core::TimeMs;
 
-/// Time that an answer needs at most to reach its caller, in milliseconds.
-const LAST_ANSWER_MS: u64 = 200;
+/// Maximum time for an answer to reach its caller, in milliseconds.
+const ANSWER_DELIVERY_MAX_MS: u64 = 200;
 
-/// What a request that arrives now meets.
+/// Phase of the shutdown in which a request arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It is served.
+    /// No stop has begun: the request is served.
     Serving,
-    /// A planned stop has begun; it is served, and its connection closes after it.
+    /// A planned stop has begun: the request is served, and its connection closes after it.
     Stopping,
-    /// It is served only if its own deadline comes before the end.
+    /// The request is served only if its own deadline is before the end of the process.
     Closing {
         /// When the process ends.
         end_at: TimeMs,
     },
 }
 
-/// The moments of a planned stop, readable from every thread; zero before it begins.
+/// The times of a planned stop, readable from every thread; zero before the stop begins.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     began_at: AtomicU64,
@@ -50,16 +52,16 @@
         self.began_at.store(now.0.max(1), Ordering::Release);
     }
 
-    /// Tells whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn has_begun(&self) -> bool {
         self.began_at.load(Ordering::Acquire) > 0
     }
 
-    /// Tells whether a request that ends by its own deadline at the latest is taken.
+    /// Returns whether a request with the given deadline is accepted.
     pub fn takes_request(&self, deadline: TimeMs, now: TimeMs) -> bool {
         match self.phase(now) {
             Phase::Serving | Phase::Stopping => true,
-            Phase::Closing { end_at } => deadline.plus_ms(LAST_ANSWER_MS) <= end_at,
+            Phase::Closing { end_at } => deadline.plus_ms(ANSWER_DELIVERY_MAX_MS) <= end_at,
         }
     }
 
--- a/crates/reedsail_dispatch/tests/allowed_regions.rs
+++ b/crates/reedsail_dispatch/tests/allowed_regions.rs
@@ -1,4 +1,5 @@
-//! Requests that are bound to regions, over three regions in which servers fail, drain and are cut off.
+//! Requests with allowed regions, over three regions in which servers fail, drain, are evacuated and become
+//! unreachable.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -25,7 +26,7 @@
 const SERVERS: usize = 18;
 
 fn region_of(server: usize) -> Option<NameHash> {
-    // The last server's failure domain is in no region that the settings name.
+    // The failure domain of the last server is not assigned to a region.
     (server + 1 < SERVERS).then(|| NameHash::of(REGIONS[server % REGIONS.len()]))
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-fn any_rule(random: &mut StdRng) -> AllowedRegions {
+fn random_regions(random: &mut StdRng) -> AllowedRegions {
     match random.random_range(0..4) {
         0 => AllowedRegions::Any,
         1 => AllowedRegions::named(Some(&REGIONS[..2])),
@@ -61,7 +62,7 @@
     }
 }
 
-fn any_outcome(random: &mut StdRng) -> AttemptOutcome {
+fn random_outcome(random: &mut StdRng) -> AttemptOutcome {
     let outcomes = [
         AttemptOutcome::Answered,
         AttemptOutcome::Broken,
@@ -71,24 +72,24 @@
     *outcomes.choose(random).unwrap()
 }
 
-/// Places a request and its retries; returns how many attempts were made.
+/// Places a request and its retries. Returns the number of attempts.
 fn attempt_all(dispatcher: &mut Dispatcher, random: &mut StdRng, now: TimeMs) -> usize {
-    let regions = any_rule(random).meet(&any_rule(random));
+    let regions = random_regions(random).meet(&random_regions(random));
     let prompt = prompt(random);
-    let is_prompt = random.random_bool(0.5);
+    let has_prompt = random.random_bool(0.5);
     let mut tried: Vec<ServerKey> = Vec::new();
     for _ in 0..4 {
         let demand = Demand {
-            service: NameHash::of(if is_prompt { "llm" } else { "app" }),
+            service: NameHash::of(if has_prompt { "llm" } else { "app" }),
             workspace: NameHash::of("labska"),
-            prompt: is_prompt.then_some(&prompt),
+            prompt: has_prompt.then_some(&prompt),
             latency_target_ms: 1_000,
             waited_ms: 0,
             tried: &tried,
             regions: &regions,
             fingerprint: None,
         };
-        // A stream that goes on elsewhere is placed by the same rule.
+        // A stream that resumes on another server is placed by the same rule.
         let is_resumed = random.random_bool(0.3);
         let demand = if is_resumed {
             demand.resumed(10_000)
@@ -99,23 +100,23 @@
             break;
         };
         assert!(!regions.is_empty());
-        let places = [Some(placement.server), placement.cache_source];
-        for place in places.into_iter().flatten() {
+        let keys = [Some(placement.server), placement.cache_source];
+        for key in keys.into_iter().flatten() {
             let number = (0..SERVERS).find(|number| {
                 let name = server(*number, false).name;
-                dispatcher.server_key(name) == Some(place)
+                dispatcher.server_key(name) == Some(key)
             });
             assert!(regions.allows(region_of(number.unwrap())), "{regions:?}");
         }
         let attempt = dispatcher.begin_attempt(&demand, &placement, now);
         tried.push(placement.server);
-        dispatcher.finish_attempt(attempt, any_outcome(random), now);
+        dispatcher.finish_attempt(attempt, random_outcome(random), now);
     }
     tried.len()
 }
 
 #[test]
-fn nothing_leaves_the_regions_that_a_request_is_bound_to() {
+fn requests_and_cache_transfers_stay_in_the_allowed_regions() {
     let mut attempts = 0;
     for seed in 0..SEEDS {
         let mut random = StdRng::seed_from_u64(seed);
@@ -131,7 +132,8 @@
                 let domain = NameHash::of(&format!("domain-{}", random.random_range(0..6)));
                 dispatcher.set_evacuated(&[domain], now);
             }
-            // A peer sends unbound requests anywhere, so that any server may have a segment cached.
+            // A peer sends requests without allowed regions anywhere, so any server may have a segment
+            // cached.
             let report = LoadReport {
                 prefixes: vec![PrefixRow {
                     segment: random.random(),
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn where_a_route_and_a_workspace_name_regions_both_bind() {
+fn allowed_regions_of_a_route_and_a_workspace_intersect() {
     let [west, east] = [REGIONS[0], REGIONS[1]].map(|name| Some(NameHash::of(name)));
     let both = AllowedRegions::named(Some(&REGIONS[..2])).meet(&AllowedRegions::named(Some(&REGIONS[1..])));
     assert!(both.allows(east) && !both.allows(west) && !both.allows(None));
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn a_request_without_a_prompt_prefers_its_own_region() {
+fn a_request_without_a_prompt_prefers_a_server_in_its_own_region() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("domain-0"));
     dispatcher.set_region(region_of(0));
     let servers: Vec<ServerSetup> = [1, 3, 5].map(|number| server(number, false)).to_vec();
@@ -175,7 +177,7 @@
         fingerprint: None,
     };
     let Decision::Send(placement) = dispatcher.decide(&demand, TimeMs(10_000)) else {
-        panic!("an idle server takes it");
+        panic!("an idle server refused the request");
     };
     assert_eq!(
         dispatcher.server_key(server(3, false).name),
--- a/crates/reedsail_dispatch/tests/decision_trace.rs
+++ b/crates/reedsail_dispatch/tests/decision_trace.rs
@@ -1,8 +1,8 @@
-//! A seeded drive of all decisions, with a digest of every one of them: a change of the code that is
-//! meant to keep the decisions must keep the digest.
+//! A seeded run of all decisions with a digest of every one of them. A code change that is meant to preserve
+//! the decisions must preserve the digest.
 //!
 //! Three instances share five engines and three plain servers and exchange load reports, some of
-//! which are lost; lists change, the store fails and comes back. The snapshot shows one decision in
+//! which are lost. Server lists change, and the store fails and recovers. The snapshot shows one decision in
 //! fifty and the digest of all.
 
 use std::fmt::Write;
@@ -35,11 +35,11 @@
 use twox_hash::XxHash64;
 
 const STEPS: u64 = 12_000;
-const SAMPLE_EVERY: u64 = 50;
+const SAMPLE_INTERVAL: u64 = 50;
 const INSTANCES: usize = 3;
 const WORKSPACES: u32 = 6;
 
-/// Everything that was decided, and a sample of it for readers.
+/// All decisions as lines, and a sample of them for readers.
 #[derive(Default)]
 struct Trace {
     lines: String,
@@ -48,9 +48,9 @@
 }
 
 impl Trace {
-    fn note(&mut self, line: &str) {
+    fn push_line(&mut self, line: &str) {
         writeln!(self.lines, "{line}").unwrap();
-        if self.count.is_multiple_of(SAMPLE_EVERY) {
+        if self.count.is_multiple_of(SAMPLE_INTERVAL) {
             writeln!(self.sample, "{line}").unwrap();
         }
         self.count += 1;
@@ -62,9 +62,9 @@
     }
 }
 
-/// A request that runs, and when it answers and ends.
-struct Open {
-    run: Attempt,
+/// An open request, with the times at which it is answered and ends.
+struct OpenRequest {
+    attempt: Attempt,
     answers_at: TimeMs,
     ends_at: TimeMs,
     outcome: AttemptOutcome,
@@ -74,25 +74,25 @@
 struct Instance {
     name: NameHash,
     dispatcher: Dispatcher,
-    open: Vec<Open>,
+    open: Vec<OpenRequest>,
 }
 
-/// The time that a server takes, apart from chance: 25 ms, or 50 ms and its prefill at 40 tokens a
-/// millisecond.
-fn true_ms(placement: &Placement) -> u64 {
+/// Returns the time that a server takes before random variation: 25 ms for a plain request, or 50 ms plus the
+/// prefill at 40 tokens per millisecond.
+fn service_time_ms(placement: &Placement) -> u64 {
     if placement.prefill_tokens == 0 {
         return 25;
     }
     50 + (placement.work.queued_tokens as u64 + u64::from(placement.prefill_tokens)) / 40
 }
 
-/// A deployment of a few instances, driven step by step.
+/// A deployment of a few instances, simulated step by step.
 struct Deployment {
     random: StdRng,
     now: TimeMs,
     instances: Vec<Instance>,
     setups: Vec<ServerSetup>,
-    /// The reports of instance 2 reach nobody until then.
+    /// Time until which the reports of instance 2 are lost.
     silent_until: TimeMs,
     trace: Trace,
 }
@@ -133,11 +133,11 @@
             silent_until: TimeMs(0),
             trace: Trace::default(),
         };
-        deployment.publish();
+        deployment.set_servers();
         deployment
     }
 
-    fn publish(&mut self) {
+    fn set_servers(&mut self) {
         for instance in &mut self.instances {
             instance.dispatcher.set_servers(&self.setups);
         }
@@ -146,16 +146,16 @@
     fn step(&mut self) {
         self.now = self.now.plus_ms(self.random.random_range(0..9));
         match self.random.random_range(0..1_000) {
-            0..600 => self.arrive(),
+            0..600 => self.send_request(),
             600..760 => self.exchange_reports(),
             760..900 => self.tick(),
-            900..940 => self.ask_for_retry(),
-            940..960 => self.change_a_server(),
+            900..940 => self.take_retry(),
+            940..960 => self.change_server(),
             960..970 => self.silent_until = self.now.plus_ms(2_000),
-            970..980 => self.forget_a_peer(),
+            970..980 => self.drop_peer(),
             _ => {}
         }
-        self.advance_open();
+        self.advance_open_requests();
     }
 
     fn prompt(&mut self) -> Prompt {
@@ -165,21 +165,21 @@
             id: family * 10 + place as u64,
             tokens: lengths[place],
         });
-        let mut parts: Vec<PromptSegment> = shared.collect();
-        parts.push(PromptSegment {
+        let mut all_segments: Vec<PromptSegment> = shared.collect();
+        all_segments.push(PromptSegment {
             id: self.random.random(),
             tokens: self.random.random_range(20..4_000),
         });
         Prompt {
-            segments: parts,
+            segments: all_segments,
             output_tokens: self.random.random_range(10..200),
         }
     }
 
-    fn arrive(&mut self) {
+    fn send_request(&mut self) {
         let index = self.random.random_range(0..INSTANCES);
         let prompt = (self.random.random_range(0..3) > 0).then(|| self.prompt());
-        // One workspace sends half of all requests.
+        // One workspace sends about half of all requests.
         let workspace = self.random.random_range(0..WORKSPACES * 2).min(WORKSPACES);
         let base = Demand {
             service: NameHash::of(if prompt.is_some() { "llm" } else { "app" }),
@@ -203,24 +203,24 @@
                 ..base
             };
             let decision = instance.dispatcher.decide(&demand, now);
-            self.trace.note(&shown(now, index, &demand, &decision));
+            self.trace.push_line(&format_decision(now, index, &demand, &decision));
             let Decision::Send(placement) = decision else {
                 return;
             };
-            let run = instance.dispatcher.begin_attempt(&demand, &placement, now);
+            let attempt = instance.dispatcher.begin_attempt(&demand, &placement, now);
             let outcome = self.random.random_range(0..100);
             if outcome < 8 {
-                // It never got through, so it is placed again.
+                // The request did not reach the server, so it is placed again.
                 instance
                     .dispatcher
-                    .finish_attempt(run, AttemptOutcome::Unreachable, now);
+                    .finish_attempt(attempt, AttemptOutcome::Unreachable, now);
                 tried.push(placement.server);
                 continue;
             }
-            let delay_ms = true_ms(&placement) * self.random.random_range(5..30) / 10;
+            let delay_ms = service_time_ms(&placement) * self.random.random_range(5..30) / 10;
             let answers_at = now.plus_ms(delay_ms);
-            instance.open.push(Open {
-                run,
+            instance.open.push(OpenRequest {
+                attempt,
                 answers_at,
                 ends_at: answers_at.plus_ms(self.random.random_range(0..900)),
                 outcome: match outcome {
@@ -235,22 +235,22 @@
         }
     }
 
-    fn advance_open(&mut self) {
+    fn advance_open_requests(&mut self) {
         let now = self.now;
         for instance in &mut self.instances {
-            let mut left = Vec::new();
+            let mut remaining = Vec::new();
             for mut open in instance.open.drain(..) {
                 if !open.has_answered && open.answers_at <= now && open.outcome == AttemptOutcome::Answered {
-                    instance.dispatcher.record_first_event(&mut open.run, now);
+                    instance.dispatcher.record_first_event(&mut open.attempt, now);
                     open.has_answered = true;
                 }
                 if open.ends_at <= now {
-                    instance.dispatcher.finish_attempt(open.run, open.outcome, now);
+                    instance.dispatcher.finish_attempt(open.attempt, open.outcome, now);
                 } else {
-                    left.push(open);
+                    remaining.push(open);
                 }
             }
-            instance.open = left;
+            instance.open = remaining;
         }
     }
 
@@ -259,10 +259,10 @@
         let name = self.instances[from].name;
         let mut report = self.instances[from].dispatcher.report(self.now);
         report.workspaces.sort_by_key(|row| row.workspace);
-        self.trace.note(&format!(
+        self.trace.push_line(&format!(
             "{} {from} reports {}",
             self.now.0,
-            shown_report(&report)
+            format_report(&report)
         ));
         if from == 2 && self.now < self.silent_until {
             return;
@@ -282,43 +282,43 @@
         for (index, instance) in self.instances.iter().enumerate() {
             let key = instance.dispatcher.server_key(server).unwrap();
             let (own, all) = instance.dispatcher.running(key);
-            self.trace.note(&format!(
+            self.trace.push_line(&format!(
                 "{} {index} runs {own} of {all} at {}",
                 self.now.0, key.0
             ));
         }
     }
 
-    fn ask_for_retry(&mut self) {
+    fn take_retry(&mut self) {
         let index = self.random.random_range(0..INSTANCES);
         let service = NameHash::of(["llm", "app"][self.random.random_range(0..2)]);
         let granted = self.instances[index].dispatcher.take_retry(service, self.now);
         self.trace
-            .note(&format!("{} {index} retry {granted}", self.now.0));
+            .push_line(&format!("{} {index} retry {granted}", self.now.0));
     }
 
-    fn change_a_server(&mut self) {
+    fn change_server(&mut self) {
         let index = self.random.random_range(0..8);
         self.setups[index].is_draining = !self.setups[index].is_draining;
         if self.random.random_range(0..4) == 0 {
             let kept = self.setups.clone();
             self.setups.remove(index);
-            self.publish();
+            self.set_servers();
             self.setups = kept;
         } else {
-            self.publish();
+            self.set_servers();
         }
     }
 
-    fn forget_a_peer(&mut self) {
+    fn drop_peer(&mut self) {
         let peer = self.instances[self.random.random_range(0..INSTANCES)].name;
         let index = self.random.random_range(0..INSTANCES);
         self.instances[index].dispatcher.drop_peer(peer);
     }
 }
 
-fn shown(now: TimeMs, instance: usize, demand: &Demand<'_>, decision: &Decision) -> String {
-    let what = match decision {
+fn format_decision(now: TimeMs, instance: usize, demand: &Demand<'_>, decision: &Decision) -> String {
+    let description = match decision {
         Decision::Send(placement) => format!(
             "to {} copy {:?} prefill {} expected {} queue {}",
             placement.server.0,
@@ -339,12 +339,12 @@
     };
     let (workspace, target_ms) = (demand.workspace.0, demand.latency_target_ms);
     format!(
-        "{} {instance} workspace {workspace} target {target_ms}: {what}",
+        "{} {instance} workspace {workspace} target {target_ms}: {description}",
         now.0
     )
 }
 
-fn shown_report(report: &LoadReport) -> String {
+fn format_report(report: &LoadReport) -> String {
     let mut text = String::new();
     for row in &report.servers {
         let (running, tokens, rate) = (row.running, row.prefill_tokens, row.failure_rate);
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn every_decision_of_a_seeded_drive_stays_the_same() {
+fn seeded_decisions_stay_the_same() {
     let mut deployment = Deployment::new(11);
     for _ in 0..STEPS {
         deployment.step();
@@ -404,7 +404,7 @@
         .collect()
 }
 
-fn shown_list(list: &ServerList, now: TimeMs) -> String {
+fn format_list(list: &ServerList, now: TimeMs) -> String {
     let mut departures = list.departures();
     departures.sort();
     let mut records = list.records(now);
@@ -422,7 +422,7 @@
     )
 }
 
-fn shown_delta(delta: &ListDelta) -> String {
+fn format_delta(delta: &ListDelta) -> String {
     format!(
         "ListDelta {{ listed: {:?}, leaving: {:?}, unlisted: {:?}, unreadable: {:?} }}",
         delta.listed, delta.draining, delta.unlisted, delta.unreadable
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn every_change_of_a_seeded_server_list_stays_the_same() {
+fn seeded_server_list_changes_stay_the_same() {
     let mut random = StdRng::seed_from_u64(12);
     let mut trace = Trace::default();
     let mut lists = [ServerList::default(), ServerList::default()];
@@ -443,12 +443,12 @@
             0..8 => {
                 let changes = changes(&mut random);
                 revision += changes.len() as u64;
-                let news = ServerUpdate {
+                let update = ServerUpdate {
                     revision: StorePosition::new(0, revision),
                     is_whole: random.random_range(0..5) == 0,
                     changes,
                 };
-                lists[index].apply(news, TimeMs(now.0 - 20), now)
+                lists[index].apply(update, TimeMs(now.0 - 20), now)
             }
             8..10 => {
                 lists[index].record_store_failure();
@@ -461,14 +461,14 @@
             12..16 => {
                 let other = &lists[1 - index];
                 let departures = other.departures();
-                let word = PeerListState {
+                let peer_state = PeerListState {
                     revision: other.revision(),
                     digest: other.digest(),
                     age_ms: other.age_ms(now),
                     departures: &departures,
                 };
-                let view = lists[index].compare_with_peer(&word, now);
-                trace.note(&format!("{} {index} peer {}", now.0, view as u8));
+                let comparison = lists[index].compare_with_peer(&peer_state, now);
+                trace.push_line(&format!("{} {index} peer {}", now.0, comparison as u8));
                 continue;
             }
             _ => lists[index].tick(now),
@@ -476,8 +476,8 @@
         for ids in [&mut delta.listed, &mut delta.draining, &mut delta.unlisted] {
             ids.sort();
         }
-        let shown = shown_list(&lists[index], now);
-        trace.note(&format!("{} {index} {} {shown}", now.0, shown_delta(&delta)));
+        let formatted_list = format_list(&lists[index], now);
+        trace.push_line(&format!("{} {index} {} {formatted_list}", now.0, format_delta(&delta)));
     }
     insta::assert_snapshot!("server_list", trace.finish());
 }
@@ -487,11 +487,11 @@
     let rows: Vec<String> = [0, 1, 8, 25, 26, 59, 99, 320, 1_000]
         .iter()
         .map(|peers| {
-            let times = GossipTiming::of(*peers);
-            let (interval, silent) = (times.interval_ms, times.peer_silent_ms);
+            let timing = GossipTiming::of(*peers);
+            let (interval, silent) = (timing.interval_ms, timing.peer_silent_ms);
             format!(
                 "{peers} {interval} {silent} {} {}",
-                times.reader_silent_ms, times.update_delay_ms
+                timing.reader_silent_ms, timing.update_delay_ms
             )
         })
         .collect();
--- a/crates/reedsail_dispatch/tests/flood.rs
+++ b/crates/reedsail_dispatch/tests/flood.rs
@@ -1,28 +1,29 @@
-//! The smallest workspace under a long flood, with daemons that hear each other and without.
+//! The smallest workspace during a long flood, with instances that exchange load reports and instances that
+//! don't.
 
 mod flood_simulation;
 
 use flood_simulation::measure_shares;
 
 #[test]
-fn daemons_that_hear_each_other_keep_the_smallest_workspaces_part() {
+fn load_reports_preserve_the_served_ratio_of_the_smallest_workspace() {
     let report = measure_shares(7);
     let [fleet, alone] = &report.policies[..] else {
         panic!("two policies: {report:?}");
     };
     assert_eq!((fleet.policy, alone.policy), ("fleet", "alone"));
-    // At least half of what the best served gets is what the platform's rule asks for.
+    // The platform requires at least half of the best served workspace's ratio.
     assert!(
-        fleet.smallest_part >= 0.5 * fleet.best_part,
-        "the smallest got {:.3}, the best served {:.3}",
-        fleet.smallest_part,
-        fleet.best_part
+        fleet.smallest_served_ratio >= 0.5 * fleet.best_served_ratio,
+        "served ratio: smallest workspace {:.3}, best served workspace {:.3}",
+        fleet.smallest_served_ratio,
+        fleet.best_served_ratio
     );
     assert!(
-        fleet.worst_part > alone.worst_part,
-        "fleet {:.3}, alone {:.3}",
-        fleet.worst_part,
-        alone.worst_part
+        fleet.worst_served_ratio > alone.worst_served_ratio,
+        "worst served ratio: fleet {:.3}, alone {:.3}",
+        fleet.worst_served_ratio,
+        alone.worst_served_ratio
     );
-    assert_eq!(report, measure_shares(7), "the same seed gives the same figures");
+    assert_eq!(report, measure_shares(7), "the same seed must give the same report");
 }
--- a/crates/reedsail_dispatch/tests/placement.rs
+++ b/crates/reedsail_dispatch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and when they are refused.
+//! Which servers requests are placed on, and when requests are refused.
 
 use reedsail_core::ErrorKind;
 use reedsail_core::NameHash;
@@ -16,7 +16,7 @@
 use reedsail_dispatch::ServerLoadRow;
 use reedsail_dispatch::ServerSetup;
 
-const GOAL_MS: u64 = 800;
+const LATENCY_TARGET_MS: u64 = 800;
 const START: TimeMs = TimeMs(10_000);
 
 fn engine(number: u32) -> ServerSetup {
@@ -62,7 +62,7 @@
         service: NameHash::of("llm"),
         workspace: NameHash::of(workspace),
         prompt: Some(prompt),
-        latency_target_ms: GOAL_MS,
+        latency_target_ms: LATENCY_TARGET_MS,
         waited_ms: 0,
         tried: &[],
         regions: &AllowedRegions::Any,
@@ -70,26 +70,26 @@
     }
 }
 
-fn placed(decision: Decision) -> Placement {
+fn expect_placement(decision: Decision) -> Placement {
     match decision {
         Decision::Send(placement) => placement,
         Decision::Refuse { kind, .. } => panic!("refused as {}", kind.name()),
-        Decision::Quarantined => panic!("quarantined"),
+        Decision::Quarantined => panic!("the request is quarantined"),
     }
 }
 
-/// Serves one request to its end.
+/// Sends a request and completes its answer.
 fn serve(dispatcher: &mut Dispatcher, prompt: &Prompt, now: TimeMs) -> Placement {
     let demand = demand("labska", prompt);
-    let placement = placed(dispatcher.decide(&demand, now));
-    let mut run = dispatcher.begin_attempt(&demand, &placement, now);
-    dispatcher.record_first_event(&mut run, now.plus_ms(placement.expected_ms));
-    dispatcher.finish_attempt(run, AttemptOutcome::Answered, now.plus_ms(900));
+    let placement = expect_placement(dispatcher.decide(&demand, now));
+    let mut attempt = dispatcher.begin_attempt(&demand, &placement, now);
+    dispatcher.record_first_event(&mut attempt, now.plus_ms(placement.expected_ms));
+    dispatcher.finish_attempt(attempt, AttemptOutcome::Answered, now.plus_ms(900));
     placement
 }
 
 #[test]
-fn more_segments_than_are_remembered_cost_the_oldest_alone() {
+fn a_full_prefix_table_evicts_only_the_oldest_segments() {
     let mut dispatcher = dispatcher(&engines(9));
     let mut now = START;
     for segment in 0..9_000 {
@@ -98,43 +98,43 @@
     }
     for segment in 5_000..9_000 {
         let prompt = prompt(segment, 100);
-        let placement = placed(dispatcher.decide(&demand("labska", &prompt), now));
+        let placement = expect_placement(dispatcher.decide(&demand("labska", &prompt), now));
         assert_eq!(placement.prefill_tokens, 100, "segment {segment}");
     }
 }
 
 #[test]
-fn what_a_peer_sent_to_a_server_need_not_be_read_there_again() {
+fn segments_that_a_peer_sent_to_a_server_are_not_prefilled_again() {
     let mut one = dispatcher(&engines(9));
     let mut other = dispatcher(&engines(9));
     let prompt = prompt(7, 1_000);
-    let cold = serve(&mut one, &prompt, START);
-    assert_eq!((cold.prefill_tokens, cold.cache_source), (14_000, None));
+    let uncached = serve(&mut one, &prompt, START);
+    assert_eq!((uncached.prefill_tokens, uncached.cache_source), (14_000, None));
     other.receive_report(NameHash::of("one"), one.report(START), START);
-    let warm = placed(other.decide(&demand("labska", &prompt), START));
-    assert_eq!((warm.server, warm.prefill_tokens), (cold.server, 1_000));
-    // A row stands in two reports, in case one is lost, and again only after a while of use.
+    let cached = expect_placement(other.decide(&demand("labska", &prompt), START));
+    assert_eq!((cached.server, cached.prefill_tokens), (uncached.server, 1_000));
+    // A row is included in two reports, in case one is lost, and again only after the report interval.
     assert_eq!(one.report(START).prefixes.len(), 1);
     assert!(one.report(START).prefixes.is_empty());
     serve(&mut one, &prompt, START.plus_ms(1_000));
     assert!(one.report(START.plus_ms(1_000)).prefixes.is_empty());
     serve(&mut one, &prompt, START.plus_ms(6_000));
     assert_eq!(one.report(START.plus_ms(6_000)).prefixes.len(), 1);
-    // Nobody keeps a part for ever.
-    let late = placed(other.decide(&demand("labska", &prompt), START.plus_ms(60_000)));
+    // Cached segments expire.
+    let late = expect_placement(other.decide(&demand("labska", &prompt), START.plus_ms(60_000)));
     assert_eq!(late.prefill_tokens, 14_000);
 }
 
 #[test]
-fn every_daemon_sends_a_prompt_part_to_the_same_server() {
+fn every_instance_sends_a_shared_segment_to_the_same_server() {
     let mut one = dispatcher(&engines(9));
     let mut reversed = engines(9);
     reversed.reverse();
     let mut other = dispatcher(&reversed);
     for shared in 0..50 {
         let prompt = prompt(shared, 1_000);
-        let here = placed(one.decide(&demand("labska", &prompt), START)).server;
-        let there = placed(other.decide(&demand("labska", &prompt), START)).server;
+        let here = expect_placement(one.decide(&demand("labska", &prompt), START)).server;
+        let there = expect_placement(other.decide(&demand("labska", &prompt), START)).server;
         let name = |number| NameHash::of(&format!("engine-{number}"));
         let number = (0..9).find(|number| one.server_key(name(*number)) == Some(here));
         assert_eq!(other.server_key(name(number.unwrap())), Some(there));
@@ -142,67 +142,67 @@
 }
 
 #[test]
-fn a_busy_first_server_sheds_to_the_second_which_copies_from_it() {
+fn a_busy_first_server_overflows_to_the_second_which_transfers_its_cache() {
     let mut dispatcher = dispatcher(&engines(9));
     let prompt = prompt(7, 6_000);
-    let first = placed(dispatcher.decide(&demand("labska", &prompt), START));
-    let mut runs = Vec::new();
+    let first = expect_placement(dispatcher.decide(&demand("labska", &prompt), START));
+    let mut attempts = Vec::new();
     for _ in 0..8 {
         let demand = demand("labska", &prompt);
-        let placement = placed(dispatcher.decide(&demand, START));
+        let placement = expect_placement(dispatcher.decide(&demand, START));
         if placement.server != first.server {
             assert_eq!(placement.cache_source, Some(first.server));
             return;
         }
-        runs.push(dispatcher.begin_attempt(&demand, &placement, START));
+        attempts.push(dispatcher.begin_attempt(&demand, &placement, START));
     }
-    panic!("the first server was never left");
+    panic!("all requests went to the first server");
 }
 
 #[test]
-fn an_idle_fleet_sends_nothing_elsewhere() {
+fn an_idle_fleet_keeps_a_prompt_on_its_first_server() {
     let mut dispatcher = dispatcher(&engines(9));
     let prompt = prompt(7, 2_000);
-    let first = placed(dispatcher.decide(&demand("labska", &prompt), START)).server;
+    let first = expect_placement(dispatcher.decide(&demand("labska", &prompt), START)).server;
     for step in 0..20 {
         let now = START.plus_ms(step * 1_000);
         let demand = demand("labska", &prompt);
-        let placement = placed(dispatcher.decide(&demand, now));
+        let placement = expect_placement(dispatcher.decide(&demand, now));
         assert_eq!((placement.server, placement.cache_source), (first, None));
-        let mut run = dispatcher.begin_attempt(&demand, &placement, now);
-        dispatcher.record_first_event(&mut run, now.plus_ms(placement.expected_ms));
-        dispatcher.finish_attempt(run, AttemptOutcome::Answered, now.plus_ms(900));
+        let mut attempt = dispatcher.begin_attempt(&demand, &placement, now);
+        dispatcher.record_first_event(&mut attempt, now.plus_ms(placement.expected_ms));
+        dispatcher.finish_attempt(attempt, AttemptOutcome::Answered, now.plus_ms(900));
     }
 }
 
 #[test]
-fn busy_servers_refuse_early_with_a_time_to_come_back() {
+fn busy_servers_refuse_requests_with_a_retry_after() {
     let mut dispatcher = dispatcher(&engines(2));
     let prompt = prompt(7, 10_000);
-    let mut runs = Vec::new();
+    let mut attempts = Vec::new();
     for _ in 0..100 {
         let demand = demand("labska", &prompt);
         match dispatcher.decide(&demand, START) {
-            Decision::Send(placement) => runs.push(dispatcher.begin_attempt(&demand, &placement, START)),
-            Decision::Quarantined => panic!("quarantined"),
+            Decision::Send(placement) => attempts.push(dispatcher.begin_attempt(&demand, &placement, START)),
+            Decision::Quarantined => panic!("the request is quarantined"),
             Decision::Refuse {
                 kind,
                 retry_after_ms,
                 placement,
             } => {
                 assert_eq!(kind, ErrorKind::WouldMissTarget);
-                assert!((100..GOAL_MS).contains(&retry_after_ms), "{retry_after_ms}");
+                assert!((100..LATENCY_TARGET_MS).contains(&retry_after_ms), "{retry_after_ms}");
                 assert!(placement.is_some());
-                assert!(!runs.is_empty());
+                assert!(!attempts.is_empty());
                 return;
             }
         }
     }
-    panic!("nothing was refused");
+    panic!("no request was refused");
 }
 
 #[test]
-fn what_peers_report_counts_until_it_lapses() {
+fn reports_of_peers_count_until_they_expire() {
     let mut dispatcher = dispatcher(&engines(1));
     let prompt = prompt(7, 1_000);
     let row = ServerLoadRow {
@@ -219,7 +219,7 @@
         ..LoadReport::default()
     };
     dispatcher.receive_report(NameHash::of("daemon-2"), report.clone(), START);
-    // A report replaces the one before it.
+    // A report replaces the previous one.
     dispatcher.receive_report(NameHash::of("daemon-2"), report, START);
     let key = dispatcher.server_key(engine(0).name).unwrap();
     assert_eq!(dispatcher.running(key), (0, 30));
@@ -228,11 +228,11 @@
     let later = START.plus_ms(2_000);
     dispatcher.tick(later);
     assert_eq!(dispatcher.running(key), (0, 0));
-    placed(dispatcher.decide(&demand("labska", &prompt), later));
+    expect_placement(dispatcher.decide(&demand("labska", &prompt), later));
 }
 
 #[test]
-fn a_report_of_a_server_that_is_listed_later_counts_then() {
+fn a_report_about_a_server_counts_once_the_server_is_listed() {
     let mut dispatcher = dispatcher(&engines(1));
     let row = ServerLoadRow {
         server: engine(1).name,
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn servers_that_leave_or_are_gone_get_nothing() {
+fn draining_and_removed_servers_get_no_requests() {
     let prompt = prompt(7, 1_000);
     let mut dispatcher = dispatcher(&engines(3));
     let first = serve(&mut dispatcher, &prompt, START).server;
@@ -267,18 +267,18 @@
         .unwrap();
     servers[position].is_draining = true;
     dispatcher.set_servers(&servers);
-    let second = placed(dispatcher.decide(&demand("labska", &prompt), START));
+    let second = expect_placement(dispatcher.decide(&demand("labska", &prompt), START));
     assert_ne!(second.server, first);
-    // A server that is leaving still gives what it keeps.
+    // A draining server still transfers its cached segments.
     assert_eq!(second.cache_source, Some(first));
     servers.remove(position);
     dispatcher.set_servers(&servers);
-    let third = placed(dispatcher.decide(&demand("labska", &prompt), START));
+    let third = expect_placement(dispatcher.decide(&demand("labska", &prompt), START));
     assert_eq!((third.server, third.cache_source), (second.server, None));
     dispatcher.set_servers(&[]);
-    let none = dispatcher.decide(&demand("labska", &prompt), START);
+    let decision = dispatcher.decide(&demand("labska", &prompt), START);
     assert!(matches!(
-        none,
+        decision,
         Decision::Refuse {
             kind: ErrorKind::NoBackend,
             ..
@@ -287,46 +287,46 @@
 }
 
 #[test]
-fn a_server_out_of_reach_is_left_alone_for_a_while() {
+fn an_unreachable_server_is_avoided_for_a_while() {
     let prompt = prompt(7, 1_000);
     let mut dispatcher = dispatcher(&engines(3));
     let demand = demand("labska", &prompt);
-    let first = placed(dispatcher.decide(&demand, START));
-    let run = dispatcher.begin_attempt(&demand, &first, START);
-    dispatcher.finish_attempt(run, AttemptOutcome::Unreachable, START);
-    let other = placed(dispatcher.decide(&demand, START));
+    let first = expect_placement(dispatcher.decide(&demand, START));
+    let attempt = dispatcher.begin_attempt(&demand, &first, START);
+    dispatcher.finish_attempt(attempt, AttemptOutcome::Unreachable, START);
+    let other = expect_placement(dispatcher.decide(&demand, START));
     assert_ne!(other.server, first.server);
     let later = START.plus_ms(30_000);
-    assert_eq!(placed(dispatcher.decide(&demand, later)).server, first.server);
+    assert_eq!(expect_placement(dispatcher.decide(&demand, later)).server, first.server);
 }
 
 #[test]
-fn servers_that_fail_or_never_answer_lose_their_requests_to_others() {
+fn failing_and_unresponsive_servers_lose_their_requests_to_others() {
     for outcome in [Some(AttemptOutcome::Failed), None] {
         let prompt = prompt(7, 1_000);
         let mut dispatcher = dispatcher(&engines(3));
         let demand = demand("labska", &prompt);
-        let first = placed(dispatcher.decide(&demand, START));
+        let first = expect_placement(dispatcher.decide(&demand, START));
         let mut now = START;
-        let mut silent = Vec::new();
+        let mut unanswered = Vec::new();
         for _ in 0..4 {
-            let run = dispatcher.begin_attempt(&demand, &first, now);
+            let attempt = dispatcher.begin_attempt(&demand, &first, now);
             now = now.plus_ms(1_000);
             match outcome {
-                Some(outcome) => dispatcher.finish_attempt(run, outcome, now),
-                None => silent.push(run),
+                Some(outcome) => dispatcher.finish_attempt(attempt, outcome, now),
+                None => unanswered.push(attempt),
             }
             dispatcher.tick(now);
         }
-        for run in silent {
-            dispatcher.finish_attempt(run, AttemptOutcome::Abandoned, now);
+        for attempt in unanswered {
+            dispatcher.finish_attempt(attempt, AttemptOutcome::Abandoned, now);
         }
-        assert_ne!(placed(dispatcher.decide(&demand, now)).server, first.server);
+        assert_ne!(expect_placement(dispatcher.decide(&demand, now)).server, first.server);
     }
 }
 
 #[test]
-fn a_server_that_comes_later_copies_from_the_one_it_relieves() {
+fn a_new_server_transfers_cached_segments_from_the_previous_one() {
     let mut dispatcher = dispatcher(&engines(4));
     for shared in 0..100 {
         serve(&mut dispatcher, &prompt(shared, 1_000), START);
@@ -334,11 +334,11 @@
     let later = START.plus_ms(10_000);
     dispatcher.set_servers(&engines(5));
     let newcomer = dispatcher.server_key(engine(4).name).unwrap();
-    let taken_over = (0..100)
+    let placements_on_newcomer = (0..100)
         .map(|shared| prompt(shared, 1_000))
-        .map(|prompt| placed(dispatcher.decide(&demand("labska", &prompt), later)))
+        .map(|prompt| expect_placement(dispatcher.decide(&demand("labska", &prompt), later)))
         .filter(|placement| placement.server == newcomer);
-    let copies: Vec<bool> = taken_over
+    let copies: Vec<bool> = placements_on_newcomer
         .map(|placement| placement.cache_source.is_some())
         .collect();
     assert!(
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn plain_services_spread_by_load_and_prefer_their_own_failure_domain() {
+fn requests_without_a_prompt_spread_by_load_and_prefer_their_own_failure_domain() {
     let mut dispatcher = dispatcher(&engines(3));
     let demand = Demand {
         service: NameHash::of("llm"),
@@ -363,7 +363,7 @@
     let own = dispatcher.server_key(engine(0).name).unwrap();
     let mut counts = std::collections::BTreeMap::new();
     for index in 0..30 {
-        let placement = placed(dispatcher.decide(&demand, START));
+        let placement = expect_placement(dispatcher.decide(&demand, START));
         if index == 0 {
             assert_eq!(placement.server, own);
         }
@@ -373,66 +373,67 @@
     assert!(counts.values().all(|count| *count >= 8), "{counts:?}");
 }
 
-/// Serves prompts one after the other, each answered after `factor` times what was expected.
-fn learn(dispatcher: &mut Dispatcher, factor: u64, count: u32) -> TimeMs {
+/// Sends prompts one after the other, each answered after `factor` times the expected time. Returns the time
+/// at the end.
+fn train_model(dispatcher: &mut Dispatcher, factor: u64, count: u32) -> TimeMs {
     let mut now = START;
     for _ in 0..count {
         let small = prompt(7, 1_000);
         let demand = demand("labska", &small);
-        let placement = placed(dispatcher.decide(&demand, now));
-        let mut run = dispatcher.begin_attempt(&demand, &placement, now);
+        let placement = expect_placement(dispatcher.decide(&demand, now));
+        let mut attempt = dispatcher.begin_attempt(&demand, &placement, now);
         now = now.plus_ms(placement.expected_ms.max(1) * factor);
-        dispatcher.record_first_event(&mut run, now);
-        dispatcher.finish_attempt(run, AttemptOutcome::Answered, now);
+        dispatcher.record_first_event(&mut attempt, now);
+        dispatcher.finish_attempt(attempt, AttemptOutcome::Answered, now);
         now = now.plus_ms(1_000);
     }
     now
 }
 
 #[test]
-fn a_prompt_too_long_for_its_target_is_served_on_an_idle_fleet() {
+fn a_prompt_too_long_for_its_target_is_sent_on_an_idle_fleet() {
     let mut fresh = dispatcher(&engines(3));
-    placed(fresh.decide(&demand("labska", &prompt(7, 90_000)), START));
+    expect_placement(fresh.decide(&demand("labska", &prompt(7, 90_000)), START));
     let mut slow = dispatcher(&engines(3));
-    let now = learn(&mut slow, 3, 20);
-    placed(slow.decide(&demand("labska", &prompt(7, 90_000)), now));
+    let now = train_model(&mut slow, 3, 20);
+    expect_placement(slow.decide(&demand("labska", &prompt(7, 90_000)), now));
 }
 
 #[test]
-fn engines_that_prove_slow_refuse_at_a_shorter_queue() {
-    let sent_before_a_refusal = |factor| {
+fn slow_engines_get_shorter_queues() {
+    let sent_before_refusal = |factor| {
         let mut dispatcher = dispatcher(&engines(1));
-        let now = learn(&mut dispatcher, factor, 20);
+        let now = train_model(&mut dispatcher, factor, 20);
         let prompt = prompt(7, 1_000);
         let demand = demand("labska", &prompt);
-        let mut runs = Vec::new();
+        let mut attempts = Vec::new();
         while let Decision::Send(placement) = dispatcher.decide(&demand, now) {
-            runs.push(dispatcher.begin_attempt(&demand, &placement, now));
+            attempts.push(dispatcher.begin_attempt(&demand, &placement, now));
         }
-        runs.len()
+        attempts.len()
     };
-    let (as_expected, slow) = (sent_before_a_refusal(1), sent_before_a_refusal(3));
-    assert!(slow * 2 < as_expected, "{slow} of {as_expected}");
+    let (normal, slow) = (sent_before_refusal(1), sent_before_refusal(3));
+    assert!(slow * 2 < normal, "{slow} of {normal}");
 }
 
 #[test]
-fn nothing_is_believed_of_a_server_that_started_again() {
+fn a_restarted_server_starts_without_load_or_cached_segments() {
     let mut servers = engines(1);
     let mut instance = dispatcher(&servers);
     let prompt = prompt(7, 1_000);
     let before = serve(&mut instance, &prompt, START);
-    let again = placed(instance.decide(&demand("labska", &prompt), START));
-    assert_eq!(again.prefill_tokens, 1_000);
-    let report_of_before = instance.report(START);
-    // The server fails, and starts again.
+    let repeated = expect_placement(instance.decide(&demand("labska", &prompt), START));
+    assert_eq!(repeated.prefill_tokens, 1_000);
+    let report_before_restart = instance.report(START);
+    // The server fails and restarts.
     let demand = demand("labska", &prompt);
-    let attempt = instance.begin_attempt(&demand, &again, START);
+    let attempt = instance.begin_attempt(&demand, &repeated, START);
     instance.finish_attempt(attempt, AttemptOutcome::Unreachable, START);
     servers[0].name = NameHash::of("engine-0, started again");
     instance.set_servers(&servers);
-    // An old report of a peer speaks of the earlier start.
-    instance.receive_report(NameHash::of("peer"), report_of_before, START);
-    let after = placed(instance.decide(&demand, START));
+    // An old report of a peer still refers to the earlier start.
+    instance.receive_report(NameHash::of("peer"), report_before_restart, START);
+    let after = expect_placement(instance.decide(&demand, START));
     assert_ne!(after.server, before.server);
     assert_eq!((after.prefill_tokens, after.queue_ms), (14_000, 0));
 }
--- a/crates/reedsail_dispatch/tests/plain_services.rs
+++ b/crates/reedsail_dispatch/tests/plain_services.rs
@@ -1,4 +1,4 @@
-//! Services without prompts, whose expected times are learned from their answers alone.
+//! Services without prompts. Their expected times are learned only from their answers.
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
@@ -39,20 +39,20 @@
     dispatcher
 }
 
-/// Has a server answer requests after `took_ms` each, more and more of them at once, until one is refused;
-/// returns when the last one had ended.
+/// Has a server answer increasing numbers of concurrent requests after `took_ms` each, until a request is
+/// refused. Returns when the last request ended.
 fn answer_until_refused(dispatcher: &mut Dispatcher, took_ms: u64) -> TimeMs {
     let mut now = START;
-    for at_once in 1..100 {
+    for concurrent in 1..100 {
         let mut attempts = Vec::new();
         let mut is_refused = false;
-        for _ in 0..at_once {
+        for _ in 0..concurrent {
             match dispatcher.decide(&demand(), now) {
                 Decision::Send(placement) => {
                     attempts.push(dispatcher.begin_attempt(&demand(), &placement, now));
                 }
                 Decision::Refuse { .. } => is_refused = true,
-                Decision::Quarantined => panic!("quarantined"),
+                Decision::Quarantined => panic!("the request is quarantined"),
             }
         }
         now = now.plus_ms(took_ms);
@@ -64,23 +64,23 @@
             return now;
         }
     }
-    panic!("no request is refused");
+    panic!("no request was refused");
 }
 
 #[test]
-fn a_plain_service_that_was_slow_gets_requests_again_once_it_is_idle() {
+fn a_slow_plain_service_gets_requests_again_once_it_is_idle() {
     let mut dispatcher = dispatcher();
     let refused_at = answer_until_refused(&mut dispatcher, 3_000);
-    for later_ms in [0, 60_000] {
-        let later = refused_at.plus_ms(later_ms);
-        dispatcher.tick(later);
-        let decision = dispatcher.decide(&demand(), later);
+    for delay_ms in [0, 60_000] {
+        let retried_at = refused_at.plus_ms(delay_ms);
+        dispatcher.tick(retried_at);
+        let decision = dispatcher.decide(&demand(), retried_at);
         assert!(matches!(decision, Decision::Send(_)), "{decision:?}");
     }
 }
 
 #[test]
-fn a_plain_service_that_was_slow_is_known_to_be_fast_again_after_some_answers() {
+fn the_estimate_of_a_plain_service_recovers_after_fast_answers() {
     let mut dispatcher = dispatcher();
     let mut now = answer_until_refused(&mut dispatcher, 3_000);
     for _ in 0..40 {
--- a/crates/reedsail_dispatch/tests/quarantine.rs
+++ b/crates/reedsail_dispatch/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! When a request is not sent any more since servers end under it, and when it is again.
+//! When a request is no longer sent because servers end while running it, and when it is sent again.
 
 use reedsail_core::Fingerprint;
 use reedsail_core::NameHash;
@@ -16,8 +16,8 @@
 
 const POISON: Fingerprint = Fingerprint(7);
 const START: TimeMs = TimeMs(10_000);
-/// How long a request is remembered.
-const KEPT_MS: u64 = 600_000;
+/// How long a suspected request is kept, in milliseconds.
+const SUSPECT_KEPT_MS: u64 = 600_000;
 
 fn setup(number: u32) -> ServerSetup {
     ServerSetup {
@@ -44,7 +44,7 @@
     }
 }
 
-/// An instance before one server at a time; each end is followed by a new start.
+/// An instance with one server at a time. After each end the next server starts.
 struct Instance {
     dispatcher: Dispatcher,
     server: u32,
@@ -62,7 +62,7 @@
         }
     }
 
-    fn is_sent(&mut self, fingerprint: Fingerprint) -> bool {
+    fn sends(&mut self, fingerprint: Fingerprint) -> bool {
         let decision = self.dispatcher.decide(&demand(fingerprint, "own"), self.now);
         match decision {
             Decision::Send(_) => true,
@@ -74,7 +74,7 @@
     fn attempt(&mut self, fingerprint: Fingerprint, workspace: &str, outcome: AttemptOutcome) {
         let demand = demand(fingerprint, workspace);
         let Decision::Send(placement) = self.dispatcher.decide(&demand, self.now) else {
-            panic!("the request is not sent");
+            panic!("the request was not sent");
         };
         let mut attempt = self.dispatcher.begin_attempt(&demand, &placement, self.now);
         attempt.set_written(true);
@@ -84,16 +84,16 @@
         self.dispatcher.finish_attempt(attempt, outcome, self.now);
     }
 
-    /// Lets the server end under a request, and the next one start.
+    /// Ends the server while it runs a request, and starts the next one.
     fn end_server_under(&mut self, fingerprint: Fingerprint, workspace: &str) {
         self.attempt(fingerprint, workspace, AttemptOutcome::Broken);
         self.server += 1;
         self.dispatcher.set_servers(&[setup(self.server)]);
-        self.pass(50);
+        self.advance(50);
     }
 
-    fn pass(&mut self, span_ms: u64) {
-        self.now = self.now.plus_ms(span_ms);
+    fn advance(&mut self, duration_ms: u64) {
+        self.now = self.now.plus_ms(duration_ms);
         self.dispatcher.tick(self.now);
     }
 
@@ -101,7 +101,7 @@
         self.dispatcher.report(self.now).suspects
     }
 
-    fn hear(&mut self, suspects: Vec<SuspectRow>) {
+    fn receive_rows(&mut self, suspects: Vec<SuspectRow>) {
         let report = LoadReport {
             suspects,
             ..LoadReport::default()
@@ -116,7 +116,7 @@
     }
 }
 
-fn quarantined() -> Instance {
+fn instance_with_quarantined_request() -> Instance {
     let mut instance = Instance::new(1);
     for _ in 0..3 {
         instance.end_server_under(POISON, "own");
@@ -125,148 +125,148 @@
 }
 
 #[test]
-fn three_servers_end_under_a_request_and_no_more() {
+fn a_request_is_quarantined_after_three_servers_ended_while_running_it() {
     let mut instance = Instance::new(1);
     for _ in 0..3 {
-        assert!(instance.is_sent(POISON));
+        assert!(instance.sends(POISON));
         instance.end_server_under(POISON, "own");
     }
-    assert!(!instance.is_sent(POISON));
-    assert!(instance.is_sent(Fingerprint(8)));
+    assert!(!instance.sends(POISON));
+    assert!(instance.sends(Fingerprint(8)));
     assert_eq!(instance.changes(), [QuarantineChange::Quarantined]);
     assert_eq!(instance.dispatcher.quarantined(), 1);
 }
 
 #[test]
-fn connections_that_break_while_their_server_goes_on_count_for_nothing() {
+fn broken_connections_to_a_running_server_do_not_count() {
     let mut instance = Instance::new(1);
     for _ in 0..10 {
         instance.attempt(POISON, "own", AttemptOutcome::Broken);
-        instance.pass(50);
+        instance.advance(50);
     }
-    assert!(instance.is_sent(POISON));
+    assert!(instance.sends(POISON));
 }
 
 #[test]
-fn an_answer_clears_a_request_at_any_time_before_the_third_end() {
+fn an_answer_clears_a_request_before_the_third_end() {
     for ends in 1..3 {
         let mut instance = Instance::new(1);
         for _ in 0..ends {
             instance.end_server_under(POISON, "own");
         }
         instance.attempt(POISON, "own", AttemptOutcome::Answered);
-        instance.pass(2_000);
+        instance.advance(2_000);
         for _ in 0..2 {
             instance.end_server_under(POISON, "own");
         }
-        assert!(instance.is_sent(POISON), "after {ends} ends");
+        assert!(instance.sends(POISON), "after {ends} ends");
         instance.end_server_under(POISON, "own");
-        assert!(!instance.is_sent(POISON), "after {ends} ends");
+        assert!(!instance.sends(POISON), "after {ends} ends");
     }
 }
 
 #[test]
-fn ends_that_different_instances_saw_add_up() {
+fn ends_observed_by_different_instances_add_up() {
     let mut instances = [Instance::new(1), Instance::new(101), Instance::new(201)];
     for instance in &mut instances {
         instance.end_server_under(POISON, "own");
     }
     let [first, second, third] = &mut instances;
-    third.hear(first.rows());
-    assert!(third.is_sent(POISON));
-    third.hear(second.rows());
-    assert!(!third.is_sent(POISON));
+    third.receive_rows(first.rows());
+    assert!(third.sends(POISON));
+    third.receive_rows(second.rows());
+    assert!(!third.sends(POISON));
 }
 
 #[test]
-fn an_end_that_is_told_twice_counts_once() {
-    let mut teller = Instance::new(1);
-    teller.end_server_under(POISON, "own");
-    let mut listener = Instance::new(101);
+fn an_end_that_is_reported_repeatedly_counts_once() {
+    let mut sender = Instance::new(1);
+    sender.end_server_under(POISON, "own");
+    let mut receiver = Instance::new(101);
     for _ in 0..5 {
-        listener.hear(teller.rows());
+        receiver.receive_rows(sender.rows());
     }
-    assert!(listener.is_sent(POISON));
+    assert!(receiver.sends(POISON));
 }
 
 #[test]
-fn one_who_started_later_learns_it_from_anyone_who_knows_within_two_seconds() {
-    let mut witness = quarantined();
+fn a_new_instance_learns_of_a_quarantine_from_any_peer_within_two_seconds() {
+    let mut observer = instance_with_quarantined_request();
     let mut other = Instance::new(101);
-    other.hear(witness.rows());
-    // The witness is gone by now, and only the one that was told is left.
+    other.receive_rows(observer.rows());
+    // The instance that observed the ends is gone. Only the peer that received its report is left.
     let mut newcomer = Instance::new(201);
-    other.pass(700);
+    other.advance(700);
     for _ in 0..20 {
-        other.pass(100);
-        newcomer.hear(other.rows());
+        other.advance(100);
+        newcomer.receive_rows(other.rows());
     }
-    assert!(!newcomer.is_sent(POISON));
+    assert!(!newcomer.sends(POISON));
 }
 
 #[test]
-fn a_peer_that_has_just_come_is_told_at_once() {
-    let mut instance = quarantined();
-    // As long after the end as it is told only now and then, and at a moment when it is not.
-    instance.pass(3_000);
+fn a_peer_that_just_joined_learns_of_a_quarantine_at_once() {
+    let mut instance = instance_with_quarantined_request();
+    // By now the request is announced only at intervals. Advance to a time between two announcements.
+    instance.advance(3_000);
     while !instance.rows().is_empty() {
-        instance.pass(50);
+        instance.advance(50);
     }
     instance.dispatcher.welcome_peer(instance.now);
     let mut newcomer = Instance::new(900);
-    newcomer.hear(instance.rows());
-    assert!(!newcomer.is_sent(POISON));
+    newcomer.receive_rows(instance.rows());
+    assert!(!newcomer.sends(POISON));
 }
 
 #[test]
-fn an_answer_at_another_instance_clears_it_here() {
-    let mut witness = Instance::new(1);
-    witness.end_server_under(POISON, "own");
-    witness.end_server_under(POISON, "own");
+fn an_answer_at_another_instance_clears_a_request() {
+    let mut observer = Instance::new(1);
+    observer.end_server_under(POISON, "own");
+    observer.end_server_under(POISON, "own");
     let mut other = Instance::new(101);
-    other.hear(witness.rows());
+    other.receive_rows(observer.rows());
     other.attempt(POISON, "own", AttemptOutcome::Answered);
-    witness.hear(other.rows());
-    witness.pass(2_000);
-    witness.end_server_under(POISON, "own");
-    assert!(witness.is_sent(POISON));
+    observer.receive_rows(other.rows());
+    observer.advance(2_000);
+    observer.end_server_under(POISON, "own");
+    assert!(observer.sends(POISON));
 }
 
 #[test]
-fn old_ends_do_not_come_back_after_an_answer() {
-    let mut cut_off = quarantined();
+fn old_ends_do_not_count_again_after_an_answer() {
+    let mut partitioned = instance_with_quarantined_request();
     let mut other = Instance::new(101);
     other.end_server_under(POISON, "own");
     other.attempt(POISON, "own", AttemptOutcome::Answered);
-    other.pass(10_000);
-    cut_off.pass(10_000);
-    let mut told = 0;
+    other.advance(10_000);
+    partitioned.advance(10_000);
+    let mut announced_rows = 0;
     for _ in 0..20 {
-        other.pass(100);
-        cut_off.pass(100);
-        let rows = cut_off.rows();
-        told += rows.len();
-        other.hear(rows);
+        other.advance(100);
+        partitioned.advance(100);
+        let rows = partitioned.rows();
+        announced_rows += rows.len();
+        other.receive_rows(rows);
     }
-    assert!(told > 0);
-    assert!(other.is_sent(POISON));
-    cut_off.hear(other.rows());
-    assert!(cut_off.is_sent(POISON));
+    assert!(announced_rows > 0);
+    assert!(other.sends(POISON));
+    partitioned.receive_rows(other.rows());
+    assert!(partitioned.sends(POISON));
     assert_eq!(
-        cut_off.changes(),
+        partitioned.changes(),
         [QuarantineChange::Quarantined, QuarantineChange::Cleared]
     );
 }
 
 #[test]
-fn it_stays_as_long_as_it_comes_back_and_is_forgotten_after() {
-    let mut instance = quarantined();
+fn a_request_stays_quarantined_while_it_is_retried_and_is_forgotten_afterwards() {
+    let mut instance = instance_with_quarantined_request();
     for _ in 0..3 {
-        instance.pass(KEPT_MS - 1);
-        assert!(!instance.is_sent(POISON));
+        instance.advance(SUSPECT_KEPT_MS - 1);
+        assert!(!instance.sends(POISON));
     }
-    instance.pass(KEPT_MS);
-    assert!(instance.is_sent(POISON));
+    instance.advance(SUSPECT_KEPT_MS);
+    assert!(instance.sends(POISON));
     assert_eq!(
         instance.changes(),
         [QuarantineChange::Quarantined, QuarantineChange::Forgotten]
@@ -274,21 +274,21 @@
 }
 
 #[test]
-fn rows_that_have_expired_are_not_taken_in() {
+fn expired_rows_are_ignored() {
     let mut instance = Instance::new(1);
-    instance.hear(vec![SuspectRow {
+    instance.receive_rows(vec![SuspectRow {
         fingerprint: POISON,
         workspace: NameHash::of("own"),
         servers: vec![NameHash(1), NameHash(2), NameHash(3)],
-        changed_ms_ago: KEPT_MS as u32,
-        seen_ms_ago: KEPT_MS as u32,
+        changed_ms_ago: SUSPECT_KEPT_MS as u32,
+        seen_ms_ago: SUSPECT_KEPT_MS as u32,
     }]);
-    assert!(instance.is_sent(POISON));
+    assert!(instance.sends(POISON));
 }
 
 #[test]
-fn a_workspace_with_thousands_of_suspects_drives_out_nobody_elses() {
-    let mut instance = quarantined();
+fn a_workspace_with_thousands_of_suspects_does_not_evict_those_of_others() {
+    let mut instance = instance_with_quarantined_request();
     for number in 0..6_000 {
         let row = SuspectRow {
             fingerprint: Fingerprint(1_000 + number),
@@ -296,14 +296,14 @@
             servers: vec![NameHash(900), NameHash(901)],
             ..SuspectRow::default()
         };
-        instance.hear(vec![row]);
+        instance.receive_rows(vec![row]);
     }
-    assert!(!instance.is_sent(POISON));
+    assert!(!instance.sends(POISON));
 }
 
 #[test]
-fn many_workspaces_with_suspects_drive_out_no_quarantined_request_before_those_with_fewer_ends() {
-    let mut instance = quarantined();
+fn suspects_with_fewer_ends_do_not_evict_a_quarantined_request() {
+    let mut instance = instance_with_quarantined_request();
     for number in 0..6_000 {
         let row = SuspectRow {
             fingerprint: Fingerprint(1_000 + number),
@@ -311,20 +311,20 @@
             servers: vec![NameHash(900)],
             ..SuspectRow::default()
         };
-        instance.hear(vec![row]);
+        instance.receive_rows(vec![row]);
     }
-    assert!(!instance.is_sent(POISON));
+    assert!(!instance.sends(POISON));
 }
 
 #[test]
-fn a_report_is_bounded_and_names_quarantined_requests_first() {
-    let mut instance = quarantined();
+fn a_report_is_bounded_and_lists_quarantined_requests_first() {
+    let mut instance = instance_with_quarantined_request();
     for number in 0..200 {
         instance.attempt(Fingerprint(1_000 + number), "own", AttemptOutcome::Broken);
     }
     instance.server += 1;
     instance.dispatcher.set_servers(&[setup(instance.server)]);
-    instance.pass(50);
+    instance.advance(50);
     let rows = instance.rows();
     assert_eq!(rows.len(), 64);
     assert_eq!(rows[0].fingerprint, POISON);
