--- a/crates/reedsail_dispatch/tests/shares.rs
+++ b/crates/reedsail_dispatch/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares among workspaces, and the budget of repeats.
+//! Fair shares of workspaces, and the retry budget.
 
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::prop;
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn the_level_is_where_what_there_is_runs_out() {
-    let close = |left: f64, right: f64| (left - right).abs() < 1e-9;
+fn the_max_min_level_exhausts_the_capacity() {
+    let close = |actual: f64, expected: f64| (actual - expected).abs() < 1e-9;
     assert!(max_min_level(&mut [1.0, 2.0, 3.0], 10.0).is_infinite());
     assert!(close(max_min_level(&mut [9.0, 1.0, 9.0], 11.0), 5.0));
     assert!(close(max_min_level(&mut [10.0, 10.0], 10.0), 5.0));
@@ -50,50 +50,50 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_the_level_gives_never_exceeds_what_there_is(
-        asked in prop::collection::vec(0.0_f64..100.0, 1..20),
+    fn the_max_min_level_never_exceeds_the_capacity(
+        requested in prop::collection::vec(0.0_f64..100.0, 1..20),
         capacity in 1.0_f64..500.0,
     ) {
-        let level = max_min_level(&mut asked.clone(), capacity);
+        let level = max_min_level(&mut requested.clone(), capacity);
         if level.is_finite() {
-            let given: f64 = asked.iter().map(|asked| asked.min(level)).sum();
+            let given: f64 = requested.iter().map(|requested| requested.min(level)).sum();
             assert!((given - capacity).abs() < 1e-6, "{given} of {capacity}");
         }
     }
 
     #[test]
-    fn repeats_stay_within_ratio_and_slack_in_every_window(
+    fn retries_stay_within_ratio_and_slack_in_every_window(
         steps in prop::collection::vec((0_u64..400, 0_u8..4), 1..400),
     ) {
         let mut window = RetryWindow::new(10_000);
         let mut now = TimeMs(50_000);
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for (interval_ms, kind) in steps {
             now = now.plus_ms(interval_ms);
             if kind == 0 {
                 if window.take(0.2, 3.0, now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             } else {
                 window.count_request(now);
                 requests.push(now);
             }
-            // As it is judged: by the requests of the window, or of one that ended up to a window
-            // earlier, whichever has most; the grain of both is a second.
-            let count = |moments: &[TimeMs], from_ms: u64, span_ms: u64| {
-                let ages = moments.iter().map(|moment| now.since_ms(*moment));
-                ages.filter(|age_ms| (from_ms..from_ms + span_ms).contains(age_ms)).count() as f64
+            // Users judge retries by the requests of the same window or of a window that ended up to one
+            // window earlier, whichever has the most requests. Both windows have a granularity of a second.
+            let count = |times: &[TimeMs], age_min_ms: u64, duration_ms: u64| {
+                let ages = times.iter().map(|time| now.since_ms(*time));
+                ages.filter(|age_ms| (age_min_ms..age_min_ms + duration_ms).contains(age_ms)).count() as f64
             };
-            let most = (0..=10).map(|second| count(&requests, second * 1_000, 12_000)).fold(0.0, f64::max);
-            assert!(count(&repeats, 0, 10_000) <= 0.2 * most + 3.0);
+            let requests_max = (0..=10).map(|second| count(&requests, second * 1_000, 12_000)).fold(0.0, f64::max);
+            assert!(count(&retries, 0, 10_000) <= 0.2 * requests_max + 3.0);
         }
     }
 }
 
-/// A prompt of its own kind, so that no two requests share a server's memory.
+/// Returns a prompt with segments of its own, so that no two requests share cached segments.
 fn prompt(id: u64) -> Prompt {
-    let parts = vec![
+    let all_segments = vec![
         PromptSegment { id, tokens: 100 },
         PromptSegment {
             id: id + 1_000_000,
@@ -101,31 +101,32 @@
         },
     ];
     Prompt {
-        segments: parts,
+        segments: all_segments,
         output_tokens: 100,
     }
 }
 
-/// Lets a large and a small workspace ask one daemon for more than one engine can do; returns the
-/// parts of each that were sent, and the kinds of refusal of the large one.
-fn serve_both(peer_use: Option<&LoadReport>) -> (f64, f64, Vec<ErrorKind>) {
+/// Sends requests of a large and a small workspace to one instance, more than its one engine can serve.
+/// Returns the sent fraction of the large one's requests, that of the small one's, and the kinds of refusals
+/// of the large one.
+fn serve_both(peer_report: Option<&LoadReport>) -> (f64, f64, Vec<ErrorKind>) {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall"));
     dispatcher.set_servers(&[engine(0)]);
     let mut now = TimeMs(1_000);
     let mut running = Vec::new();
     let mut sent = [0.0, 0.0];
-    let mut asked = [0.0, 0.0];
+    let mut requested = [0.0, 0.0];
     let mut kinds = Vec::new();
     for step in 0..600_u64 {
         now = now.plus_ms(20);
-        if let Some(report) = peer_use {
+        if let Some(report) = peer_report {
             dispatcher.receive_report(NameHash::of("peer"), report.clone(), now);
         }
-        // An engine reads 40 tokens a millisecond, so a prompt takes 100 ms.
+        // An engine prefills 40 tokens per millisecond, so a prompt takes 100 ms.
         while running.first().is_some_and(|(_, done_at)| *done_at <= now) {
-            let (mut run, done_at) = running.remove(0);
-            dispatcher.record_first_event(&mut run, done_at);
-            dispatcher.finish_attempt(run, AttemptOutcome::Answered, done_at);
+            let (mut attempt, done_at) = running.remove(0);
+            dispatcher.record_first_event(&mut attempt, done_at);
+            dispatcher.finish_attempt(attempt, AttemptOutcome::Answered, done_at);
         }
         let is_small = step % 16 == 0;
         let workspace = if is_small { "small" } else { "large" };
@@ -142,23 +143,23 @@
         };
         dispatcher.record_arrival(&demand, now);
         if step >= 200 {
-            asked[usize::from(is_small)] += 1.0;
+            requested[usize::from(is_small)] += 1.0;
         }
         match dispatcher.decide(&demand, now) {
             Decision::Send(placement) => {
                 let free_at = running.last().map_or(now, |(_, done_at): &(_, TimeMs)| *done_at);
-                let run = dispatcher.begin_attempt(&demand, &placement, now);
-                running.push((run, free_at.max(now).plus_ms(100)));
+                let attempt = dispatcher.begin_attempt(&demand, &placement, now);
+                running.push((attempt, free_at.max(now).plus_ms(100)));
                 if step >= 200 {
                     sent[usize::from(is_small)] += 1.0;
                 }
             }
             Decision::Refuse { kind, .. } if !is_small => kinds.push(kind),
             Decision::Refuse { .. } => {}
-            Decision::Quarantined => panic!("quarantined"),
+            Decision::Quarantined => panic!("the request is quarantined"),
         }
     }
-    (sent[0] / asked[0], sent[1] / asked[1], kinds)
+    (sent[0] / requested[0], sent[1] / requested[1], kinds)
 }
 
 #[test]
@@ -169,13 +170,14 @@
     assert!(kinds.contains(&ErrorKind::OverShare));
 }
 
-/// A workspace whose callers entered at instances that were late got 2.5 of the 12.7 million tokens that were
-/// counted as sent for it in twelve seconds, and was refused as over its share meanwhile: an attempt counted from
-/// its beginning on, whether it reached a server or its caller left before. A line of a second in which 0.2 million
-/// tokens of it were begun: `"kind":"over_share", "sent_tokens":"3105835", "level_tokens":"2024903"`, with 642
-/// lines `request_repeated`, all of `"cause":"not_sent"`, besides.
+/// Guards against charging a workspace for attempts that no server ran: an attempt was charged from its
+/// beginning, even if it reached no server or its caller disconnected first. A workspace whose callers
+/// connected to slow instances got 2.5 of the 12.7 million tokens that were counted as sent for it within
+/// twelve seconds, and was refused as over its share. In a second in which servers began 0.2 million of its
+/// tokens, the log had `"kind":"over_share", "sent_tokens":"3105835", "level_tokens":"2024903"` and 642 lines
+/// `request_repeated` with `"cause":"not_sent"`.
 #[test]
-fn attempts_that_came_to_nothing_are_not_charged() {
+fn attempts_that_no_server_ran_are_not_charged() {
     let prompt = prompt(7);
     let demand = Demand {
         service: service(),
@@ -187,37 +189,37 @@
         regions: &AllowedRegions::Any,
         fingerprint: None,
     };
-    let charged = |outcome: AttemptOutcome, is_written: bool, has_begun: bool| {
+    let charged = |outcome: AttemptOutcome, is_written: bool, has_first_event: bool| {
         let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall"));
         dispatcher.set_servers(&[engine(0)]);
         let now = TimeMs(1_000);
         dispatcher.record_arrival(&demand, now);
         let Decision::Send(placement) = dispatcher.decide(&demand, now) else {
-            panic!("refused on an idle server");
+            panic!("an idle server refused the request");
         };
         let mut attempt = dispatcher.begin_attempt(&demand, &placement, now);
         let later = now.plus_ms(700);
         attempt.set_written(is_written);
-        if has_begun {
+        if has_first_event {
             dispatcher.record_first_event(&mut attempt, later);
         }
         dispatcher.finish_attempt(attempt, outcome, later);
-        let told: f32 = dispatcher
+        let reported: f32 = dispatcher
             .report(later)
             .workspaces
             .iter()
             .map(|row| row.sent_cost)
             .sum();
-        let known = dispatcher.workspace_share(demand.workspace, later).sent_cost;
-        assert!((known - f64::from(told)).abs() < 1.0, "{known} and {told}");
-        known
+        let charged_cost = dispatcher.workspace_share(demand.workspace, later).sent_cost;
+        assert!((charged_cost - f64::from(reported)).abs() < 1.0, "{charged_cost} and {reported}");
+        charged_cost
     };
     for outcome in [AttemptOutcome::Unreachable, AttemptOutcome::Rejected] {
         assert!(charged(outcome, true, false) < 1.0, "{outcome:?}");
     }
     let unwritten = charged(AttemptOutcome::Abandoned, false, false);
-    assert!(unwritten < 1.0, "given up before it was written");
-    // What a server may have worked on is charged, whatever came of it.
+    assert!(unwritten < 1.0, "charged an attempt that was abandoned before it was written");
+    // An attempt that a server may have worked on is charged regardless of its outcome.
     assert!(charged(AttemptOutcome::Abandoned, true, false) > 1.0);
     assert!(charged(AttemptOutcome::Abandoned, true, true) > 1.0);
     assert!(charged(AttemptOutcome::Failed, true, false) > 1.0);
@@ -225,8 +227,8 @@
 }
 
 #[test]
-fn what_a_workspace_got_from_other_daemons_counts_here() {
-    let use_elsewhere = |name: &str, cost: f32| WorkspaceUseRow {
+fn usage_at_other_instances_counts_towards_the_share() {
+    let peer_usage = |name: &str, cost: f32| WorkspaceUseRow {
         workspace: NameHash::of(name),
         requested_cost: cost * 2.0,
         sent_cost: cost,
@@ -234,7 +236,7 @@
         recent_sent_cost: 0.0,
     };
     let report = LoadReport {
-        workspaces: vec![use_elsewhere("small", 2_000_000.0)],
+        workspaces: vec![peer_usage("small", 2_000_000.0)],
         ..LoadReport::default()
     };
     let (_, small, _) = serve_both(Some(&report));
@@ -242,9 +244,9 @@
     assert!(small < small_alone, "{small} and {small_alone}");
 }
 
-/// Returns how many of a flood's prompts to a service are sent within a second, before forty engines of one
-/// service and one server of another.
-fn sent_of_a_flood(called: &str) -> usize {
+/// Returns how many of a flood's prompts to a service are sent within a second, in a fleet with forty engines
+/// of one service and one server of another.
+fn count_sent_of_a_flood(called_service: &str) -> usize {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall"));
     let mut servers: Vec<ServerSetup> = (0..40).map(engine).collect();
     servers.push(ServerSetup {
@@ -260,8 +262,8 @@
         }],
         output_tokens: 1,
     };
-    // Another workspace is short elsewhere, so there is not enough for all.
-    let elsewhere = LoadReport {
+    // Another workspace gets less than it requests at a peer, so there is not enough for all.
+    let peer_report_of_scarcity = LoadReport {
         workspaces: vec![WorkspaceUseRow {
             workspace: NameHash::of("elsewhere"),
             requested_cost: 40_000_000.0,
@@ -273,7 +275,7 @@
     };
     let mut send = |service: &str, number: u64, now: TimeMs| {
         if number.is_multiple_of(1_000) {
-            dispatcher.receive_report(NameHash::of("peer"), elsewhere.clone(), now);
+            dispatcher.receive_report(NameHash::of("peer"), peer_report_of_scarcity.clone(), now);
         }
         let prompt = prompt(number);
         let demand = Demand {
@@ -300,7 +302,7 @@
     for number in 1..20_000 {
         // Most of the flood goes to the engines; one prompt in ten is counted.
         let is_counted = number % 10 == 0;
-        let service = if is_counted { called } else { "llm" };
+        let service = if is_counted { called_service } else { "llm" };
         let is_sent = send(service, number, TimeMs(10_000 + number / 10));
         counted += usize::from(is_sent && is_counted && number > 10_000);
     }
@@ -308,18 +310,18 @@
 }
 
 #[test]
-fn a_flood_is_paced_alike_on_services_of_many_and_of_few_servers() {
-    let (many, few) = (sent_of_a_flood("llm"), sent_of_a_flood("other"));
+fn a_flood_is_paced_alike_on_services_with_many_and_with_few_servers() {
+    let (many, few) = (count_sent_of_a_flood("llm"), count_sent_of_a_flood("other"));
     assert!(many > 0, "{many} and {few}");
     assert!(few * 2 > many, "{many} and {few}");
 }
 
-/// Decides about a small workspace's prompt behind a queue of twice its target, where the small workspace and a
-/// flood were sent so much elsewhere.
-fn behind_a_flood(small_sent: f32, queue_tokens: u32) -> Decision {
+/// Decides about a small workspace's prompt behind a queue of at least twice its latency target, when peers
+/// sent a cost of `small_sent` for the small workspace and far more for a flood.
+fn decide_behind_a_flood(small_sent: f32, queue_tokens: u32) -> Decision {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall"));
     dispatcher.set_servers(&[engine(0)]);
-    let use_elsewhere = |name: &str, requested_cost: f32, sent_cost: f32| WorkspaceUseRow {
+    let peer_usage = |name: &str, requested_cost: f32, sent_cost: f32| WorkspaceUseRow {
         workspace: NameHash::of(name),
         requested_cost,
         sent_cost,
@@ -333,8 +335,8 @@
             ..ServerLoadRow::default()
         }],
         workspaces: vec![
-            use_elsewhere("small", 100_000.0, small_sent),
-            use_elsewhere("flood", 50_000_000.0, 5_000_000.0),
+            peer_usage("small", 100_000.0, small_sent),
+            peer_usage("flood", 50_000_000.0, 5_000_000.0),
         ],
         ..LoadReport::default()
     };
@@ -359,21 +361,21 @@
 }
 
 #[test]
-fn a_workspace_far_below_its_due_is_sent_behind_the_queue_of_a_flood() {
+fn a_starved_workspace_is_sent_behind_the_queue_of_a_flood() {
     let queue_tokens = 40_000;
     assert!(matches!(
-        behind_a_flood(20_000.0, queue_tokens),
+        decide_behind_a_flood(20_000.0, queue_tokens),
         Decision::Send(_)
     ));
-    let has_had_most = behind_a_flood(90_000.0, queue_tokens);
+    let decision_near_due = decide_behind_a_flood(90_000.0, queue_tokens);
     assert!(matches!(
-        has_had_most,
+        decision_near_due,
         Decision::Refuse {
             kind: ErrorKind::WouldMissTarget,
             ..
         }
     ));
-    // Behind a queue without end nobody is served by waiting.
-    let behind_a_jam = behind_a_flood(20_000.0, 40_000 * 20);
-    assert!(matches!(behind_a_jam, Decision::Refuse { .. }));
+    // Behind a very long queue, an admitted request would gain nothing from waiting.
+    let decision_behind_long_queue = decide_behind_a_flood(20_000.0, 40_000 * 20);
+    assert!(matches!(decision_behind_long_queue, Decision::Refuse { .. }));
 }
