--- a/crates/reedsail_dispatch/src/failure_rate.rs
+++ b/crates/reedsail_dispatch/src/failure_rate.rs
@@ -17,13 +17,13 @@
 impl FailureRate {
     /// Records an outcome: 0 for a success, 1 for a failure, or another weight that `server_health` defines.
     pub(crate) fn record(&mut self, failure: f64, now: TimeMs) {
-        let rate = self.at(now);
+        let rate = self.rate_at(now);
         self.rate = rate + NEWEST_WEIGHT * (failure - rate);
         self.updated_at = now;
     }
 
     /// Returns the rate at a given time, from 0 to 1.
-    pub(crate) fn at(&self, now: TimeMs) -> f64 {
+    pub(crate) fn rate_at(&self, now: TimeMs) -> f64 {
         let age_ms = now.since_ms(self.updated_at) as f64;
         self.rate * 0.5_f64.powf(age_ms / HALF_LIFE_MS)
     }
--- a/crates/reedsail_dispatch/src/server_health.rs
+++ b/crates/reedsail_dispatch/src/server_health.rs
@@ -109,7 +109,7 @@
 
     /// Returns how often the server failed, from 0 to 1, by this instance's outcomes alone.
     pub(crate) fn own_failure_rate(&self, now: TimeMs) -> f64 {
-        self.failures.at(now)
+        self.failures.rate_at(now)
     }
 
     /// Returns the delay in milliseconds that placement adds for the server's failures.
@@ -140,7 +140,7 @@
         } else {
             0.0
         };
-        self.failures.at(now).max(received)
+        self.failures.rate_at(now).max(received)
     }
 }
 
