--- a/crates/reedsail_dispatch/src/allowed_regions.rs
+++ b/crates/reedsail_dispatch/src/allowed_regions.rs
@@ -22,7 +22,7 @@
 
 impl AllowedRegions {
     /// Makes the allowed regions from a configured list; `None` means that no list is configured.
-    pub fn named<Name: AsRef<str>>(names: Option<&[Name]>) -> Self {
+    pub fn from_names<Name: AsRef<str>>(names: Option<&[Name]>) -> Self {
         names.map_or(Self::Any, |names| {
             Self::Only(names.iter().map(|name| NameHash::of(name.as_ref())).collect())
         })
@@ -30,7 +30,7 @@
 
     /// Returns the regions that both `self` and `other` allow.
     #[must_use]
-    pub fn meet(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Any, regions) | (regions, Self::Any) => regions.clone(),
             (Self::Only(these), Self::Only(others)) => {
--- a/crates/reedsail_dispatch/tests/allowed_regions.rs
+++ b/crates/reedsail_dispatch/tests/allowed_regions.rs
@@ -45,9 +45,9 @@
 fn random_regions(random: &mut StdRng) -> AllowedRegions {
     match random.random_range(0..4) {
         0 => AllowedRegions::Any,
-        1 => AllowedRegions::named(Some(&REGIONS[..2])),
-        2 => AllowedRegions::named(Some(&[REGIONS[random.random_range(0..3)]])),
-        _ => AllowedRegions::named::<&str>(Some(&[])),
+        1 => AllowedRegions::from_names(Some(&REGIONS[..2])),
+        2 => AllowedRegions::from_names(Some(&[REGIONS[random.random_range(0..3)]])),
+        _ => AllowedRegions::from_names::<&str>(Some(&[])),
     }
 }
 
@@ -74,7 +74,7 @@
 
 /// Places a request and its retries. Returns the number of attempts.
 fn attempt_all(dispatcher: &mut Dispatcher, random: &mut StdRng, now: TimeMs) -> usize {
-    let regions = random_regions(random).meet(&random_regions(random));
+    let regions = random_regions(random).intersection(&random_regions(random));
     let prompt = prompt(random);
     let has_prompt = random.random_bool(0.5);
     let mut tried: Vec<ServerKey> = Vec::new();
@@ -151,11 +151,11 @@
 #[test]
 fn allowed_regions_of_a_route_and_a_workspace_intersect() {
     let [west, east] = [REGIONS[0], REGIONS[1]].map(|name| Some(NameHash::of(name)));
-    let both = AllowedRegions::named(Some(&REGIONS[..2])).meet(&AllowedRegions::named(Some(&REGIONS[1..])));
+    let both = AllowedRegions::from_names(Some(&REGIONS[..2])).intersection(&AllowedRegions::from_names(Some(&REGIONS[1..])));
     assert!(both.allows(east) && !both.allows(west) && !both.allows(None));
-    let none = AllowedRegions::named(Some(&REGIONS[..1])).meet(&AllowedRegions::named(Some(&REGIONS[2..])));
+    let none = AllowedRegions::from_names(Some(&REGIONS[..1])).intersection(&AllowedRegions::from_names(Some(&REGIONS[2..])));
     assert!(none.is_empty() && !none.allows(west));
-    let one = AllowedRegions::Any.meet(&AllowedRegions::named(Some(&REGIONS[..1])));
+    let one = AllowedRegions::Any.intersection(&AllowedRegions::from_names(Some(&REGIONS[..1])));
     assert!(one.allows(west) && !one.allows(east));
     assert!(AllowedRegions::Any.allows(None) && !AllowedRegions::Any.is_empty());
 }
--- a/crates/reedsail_router/src/route_table.rs
+++ b/crates/reedsail_router/src/route_table.rs
@@ -108,7 +108,7 @@
         let of_route = self.regions_by_route.get(&route.name);
         let of_workspace = workspace.and_then(|workspace| self.regions_by_workspace.get(&workspace));
         let named = of_route.into_iter().chain(of_workspace);
-        named.fold(AllowedRegions::Any, |regions, other| regions.meet(other))
+        named.fold(AllowedRegions::Any, |regions, other| regions.intersection(other))
     }
 
     /// Finds the workspace that has a key.
@@ -135,7 +135,7 @@
 ) -> HashMap<Key, AllowedRegions> {
     let named = entries.filter_map(|entry| {
         let (key, names) = read(entry);
-        Some((key, AllowedRegions::named(Some(names?))))
+        Some((key, AllowedRegions::from_names(Some(names?))))
     });
     named.collect()
 }
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -70,7 +70,7 @@
     /// [`ErrorKind::NoAllowedRegion`] if that is nowhere.
     pub(crate) fn allowed_regions(&self, newest: &RouteTable) -> Result<AllowedRegions, ErrorKind> {
         let workspace = self.workspace.as_ref().map(|workspace| workspace.hash);
-        let regions = self.regions.meet(&newest.allowed_regions(&self.route, workspace));
+        let regions = self.regions.intersection(&newest.allowed_regions(&self.route, workspace));
         if regions.is_empty() {
             return Err(ErrorKind::NoAllowedRegion);
         }
