--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -440,7 +440,7 @@
 
     /// Includes all suspected requests in the next load reports, for a peer that has just started or was
     /// partitioned.
-    pub fn welcome_peer(&mut self, now: TimeMs) {
+    pub fn announce_suspects(&mut self, now: TimeMs) {
         self.quarantine.announce_all(now);
     }
 
--- a/crates/reedsail_dispatch/tests/quarantine.rs
+++ b/crates/reedsail_dispatch/tests/quarantine.rs
@@ -212,7 +212,7 @@
     while !instance.rows().is_empty() {
         instance.advance(50);
     }
-    instance.dispatcher.welcome_peer(instance.now);
+    instance.dispatcher.announce_suspects(instance.now);
     let mut newcomer = Instance::new(900);
     newcomer.receive_rows(instance.rows());
     assert!(!newcomer.sends(POISON));
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -433,7 +433,7 @@
                 let fields = [("peer", received.from.to_string())];
                 self.shared.emit(EventKind::PeerAlive, &fields);
                 // It may know nothing of the requests that end servers, and would send each once more.
-                self.shared.dispatcher().welcome_peer(now);
+                self.shared.dispatcher().announce_suspects(now);
             }
         }
         self.configuration.receive_age(known, self.own_version(), now);
--- a/crates/reedsail_simulation/src/crash_fleet.rs
+++ b/crates/reedsail_simulation/src/crash_fleet.rs
@@ -260,7 +260,7 @@
         });
         let dispatcher = &mut receiver.dispatcher;
         if !is_known {
-            dispatcher.welcome_peer(moment(now_ms));
+            dispatcher.announce_suspects(moment(now_ms));
         }
         dispatcher.receive_report(instance_name(from), report, moment(now_ms));
     }
