--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -337,8 +337,8 @@
 
     /// Returns the servers that peers reported as draining since the last call. The peers learned it from an
     /// answer of the server.
-    pub fn take_told_draining(&mut self) -> Vec<ServerKey> {
-        self.servers.take_told_draining()
+    pub fn take_draining_from_peers(&mut self) -> Vec<ServerKey> {
+        self.servers.take_draining_from_peers()
     }
 
     fn return_delay_ms(&self, server: ServerKey) -> u64 {
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -307,7 +307,7 @@
     }
 
     /// Returns the servers that were learned from peers to drain since the last call.
-    pub(crate) fn take_told_draining(&mut self) -> Vec<ServerKey> {
+    pub(crate) fn take_draining_from_peers(&mut self) -> Vec<ServerKey> {
         std::mem::take(&mut self.told_draining)
     }
 
--- a/crates/reedsail_dispatch/tests/server_notices.rs
+++ b/crates/reedsail_dispatch/tests/server_notices.rs
@@ -148,13 +148,13 @@
     let mut second = instance(&["app-1", "app-2"]);
     let told = key(&first, "app-1");
     first.record_notice(told, DRAINING, START);
-    assert_eq!(first.take_told_draining(), []);
+    assert_eq!(first.take_draining_from_peers(), []);
     let report = first.report(START);
     assert!(draining_row(&report, "app-1") && !draining_row(&report, "app-2"));
     second.receive_report(NameHash::of("hall-a-1"), report, START);
     assert!(!gets_requests(&mut second, "app-1", START));
-    assert_eq!(second.take_told_draining(), [told]);
-    assert_eq!(second.take_told_draining(), []);
+    assert_eq!(second.take_draining_from_peers(), [told]);
+    assert_eq!(second.take_draining_from_peers(), []);
     // An instance tells what it was told itself; else two could tell each other for ever.
     assert!(!draining_row(&second.report(START), "app-1"));
     // One that starts later hears it as well.
--- a/crates/reedsail_router/src/control/server_notice_log.rs
+++ b/crates/reedsail_router/src/control/server_notice_log.rs
@@ -12,7 +12,7 @@
 pub(crate) fn log_server_notices<H>(shared: &Shared<H>, now: TimeMs) {
     let (told, backed_off) = {
         let mut dispatcher = shared.dispatcher();
-        (dispatcher.take_told_draining(), dispatcher.backed_off(now))
+        (dispatcher.take_draining_from_peers(), dispatcher.backed_off(now))
     };
     shared.metrics.servers_backed_off.set(backed_off as i64);
     for key in told {
