--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -358,8 +358,8 @@
 
     /// Returns whether a request that was placed on a server may still be sent there. Changes learned from a
     /// list or an answer since the placement also apply to requests that are still connecting.
-    pub fn still_takes(&self, server: ServerKey, now: TimeMs) -> bool {
-        self.servers.still_takes(server, now)
+    pub fn may_still_send_to(&self, server: ServerKey, now: TimeMs) -> bool {
+        self.servers.may_still_send_to(server, now)
     }
 
     /// Keeps a request whose connection broke until it is known whether its server ended.
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -312,7 +312,7 @@
     }
 
     /// Tells whether a request that was placed on a server may still be sent there.
-    pub(crate) fn still_takes(&self, key: ServerKey, now: TimeMs) -> bool {
+    pub(crate) fn may_still_send_to(&self, key: ServerKey, now: TimeMs) -> bool {
         let server = self.get(key);
         match server.life.state(now) {
             LifeState::Warm | LifeState::Cold => !server.backoff.is_active(now),
--- a/crates/reedsail_dispatch/tests/server_notices.rs
+++ b/crates/reedsail_dispatch/tests/server_notices.rs
@@ -136,9 +136,9 @@
 fn a_request_that_is_connecting_is_not_sent_to_a_server_that_drains_by_now() {
     let mut dispatcher = instance(&["app-1"]);
     let attempt = send(&mut dispatcher, START).unwrap();
-    assert!(dispatcher.still_takes(attempt.server(), START));
+    assert!(dispatcher.may_still_send_to(attempt.server(), START));
     dispatcher.record_notice(attempt.server(), DRAINING, START);
-    assert!(!dispatcher.still_takes(attempt.server(), START));
+    assert!(!dispatcher.may_still_send_to(attempt.server(), START));
     assert!(send(&mut dispatcher, START).is_none());
 }
 
@@ -178,12 +178,12 @@
         assert!(!sent.is_empty());
         assert!(sent.iter().all(|attempt| attempt.server() != resting));
         assert!(
-            !dispatcher.still_takes(resting, now),
+            !dispatcher.may_still_send_to(resting, now),
             "also not one that is connecting"
         );
         answer(&mut dispatcher, sent, now);
     }
-    assert!(dispatcher.still_takes(resting, START.plus_ms(3_000)));
+    assert!(dispatcher.may_still_send_to(resting, START.plus_ms(3_000)));
 }
 
 #[test]
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -104,7 +104,7 @@
     };
     // An answer or a list may have said meanwhile that the server takes nothing more.
     let now = shared.clock.now();
-    if !shared.dispatcher().still_takes(placement.server, now) {
+    if !shared.dispatcher().may_still_send_to(placement.server, now) {
         pool.give_back(placement.server, connection, &HeaderMap::new(), now);
         guard.close(AttemptOutcome::Abandoned);
         return AttemptResult::NotSent(unsent);
