--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -206,7 +206,7 @@
     /// failure domain has answered recently, that domain may be partitioned. A new connection detects this
     /// within the connect timeout. A request written to a partitioned connection is lost for seconds and may
     /// not be safe to retry.
-    pub fn trusts_kept_connection(&self, server: ServerKey, now: TimeMs) -> bool {
+    pub fn may_reuse_connection(&self, server: ServerKey, now: TimeMs) -> bool {
         let domain = self.servers.get(server).setup.failure_domain;
         domain == self.own_domain || !self.reach.is_suspect(domain, now)
     }
--- a/crates/reedsail_dispatch/tests/domain_reach.rs
+++ b/crates/reedsail_dispatch/tests/domain_reach.rs
@@ -173,12 +173,12 @@
         servers.find(|(_, other)| *other == domain).unwrap().0
     };
     let (own, other) = (in_domain(&instance, 0), in_domain(&instance, 3));
-    assert!(instance.dispatcher.trusts_kept_connection(own, now(0)));
-    assert!(!instance.dispatcher.trusts_kept_connection(other, now(0)));
+    assert!(instance.dispatcher.may_reuse_connection(own, now(0)));
+    assert!(!instance.dispatcher.may_reuse_connection(other, now(0)));
     // Requests reach every failure domain, and answers come within a few hundred milliseconds.
     for segment in 0..40 {
         instance.request(segment, false, START_MS);
     }
-    assert!(instance.dispatcher.trusts_kept_connection(other, now(400)));
-    assert!(!instance.dispatcher.trusts_kept_connection(other, now(2_000)));
+    assert!(instance.dispatcher.may_reuse_connection(other, now(400)));
+    assert!(!instance.dispatcher.may_reuse_connection(other, now(2_000)));
 }
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -77,7 +77,7 @@
     };
     let now = shared.clock.now();
     let deadline = || shared.clock.timer(call.deadline);
-    let is_trusted = shared.dispatcher().trusts_kept_connection(placement.server, now);
+    let is_trusted = shared.dispatcher().may_reuse_connection(placement.server, now);
     // One that is not trusted is closed: the new one takes its place.
     let kept = pool.take(placement.server, now).filter(|_| is_trusted);
     let (request, unsent) = match kept {
