--- a/crates/reedsail_dispatch/src/admission.rs
+++ b/crates/reedsail_dispatch/src/admission.rs
@@ -85,7 +85,7 @@
         return Decision::Send(placement);
     }
     let share = share();
-    let is_over_share = share.is_over();
+    let is_over_share = share.is_exceeded();
     let is_queue_short = placement.queue_ms as f64 <= target_ms * QUEUE_TARGET_FRACTION;
     let is_starved = share.is_starved() && placement.expected_ms as f64 <= STARVED_TARGETS * target_ms;
     if (excess_ms <= 0.0 || is_queue_short || is_starved) && !is_over_share {
--- a/crates/reedsail_dispatch/src/fair_share.rs
+++ b/crates/reedsail_dispatch/src/fair_share.rs
@@ -120,7 +120,7 @@
 
 impl WorkspaceShare {
     /// Returns whether the workspace was sent more than its share.
-    pub fn is_over(&self) -> bool {
+    pub fn is_exceeded(&self) -> bool {
         self.sent_cost > self.level_cost
     }
 
--- a/crates/reedsail_router/src/control/share_watch.rs
+++ b/crates/reedsail_router/src/control/share_watch.rs
@@ -34,7 +34,7 @@
         let asking: HashSet<NameHash> = by_workspace.iter().map(|(workspace, _)| *workspace).collect();
         self.over.retain(|workspace| asking.contains(workspace));
         for (workspace, share) in by_workspace {
-            let has_crossed = if share.is_over() {
+            let has_crossed = if share.is_exceeded() {
                 self.over.insert(workspace)
             } else {
                 self.over.remove(&workspace)
@@ -52,7 +52,7 @@
         let name = routes.workspace_name(workspace).unwrap_or("none");
         let mut fields = vec![
             ("workspace", name.to_owned()),
-            ("is_over", share.is_over().to_string()),
+            ("is_over", share.is_exceeded().to_string()),
         ];
         fields.extend(share_fields(share));
         fields
