--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -39,7 +39,7 @@
 use crate::pacing::PrefillCapacity;
 use crate::peer_reports::PeerReports;
 use crate::placement::Placer;
-use crate::prefix_memory::PrefixMemory;
+use crate::prefix_cache_index::PrefixCacheIndex;
 use crate::quarantine::Quarantine;
 use crate::retry::RetryBudgets;
 use crate::server_backoff::return_delay_ms;
@@ -58,7 +58,7 @@
     peers: PeerReports,
     usage: UsageTable,
     pacer: Pacer,
-    prefixes: PrefixMemory,
+    prefixes: PrefixCacheIndex,
     retries: RetryBudgets,
     unanswered: UnansweredAttempts,
     broken: BrokenAttempts,
@@ -83,7 +83,7 @@
             peers: PeerReports::default(),
             usage: UsageTable::new(settings.share_window_ms),
             pacer: Pacer::default(),
-            prefixes: PrefixMemory::default(),
+            prefixes: PrefixCacheIndex::default(),
             retries: RetryBudgets::default(),
             unanswered: UnansweredAttempts::default(),
             broken: BrokenAttempts::default(),
--- a/crates/reedsail_dispatch/src/lib.rs
+++ b/crates/reedsail_dispatch/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! | module | rule |
 //! |---|---|
-//! | `placement`, with `latency_estimate`, `first_event_model` and `prefix_memory` | which backend server |
+//! | `placement`, with `latency_estimate`, `first_event_model` and `prefix_cache_index` | which backend server |
 //! | `allowed_regions` | in which regions a request may run |
 //! | `server_groups` | which servers a decision considers |
 //! | `load_pressure` | how soon peers must learn of the load |
@@ -57,7 +57,7 @@
 mod peer_list_state;
 mod peer_reports;
 mod placement;
-mod prefix_memory;
+mod prefix_cache_index;
 mod quarantine;
 mod retry;
 mod server_backoff;
--- a/crates/reedsail_dispatch/src/placement.rs
+++ b/crates/reedsail_dispatch/src/placement.rs
@@ -30,7 +30,7 @@
 use crate::PromptSegment;
 use crate::domain_reach::DomainReach;
 use crate::latency_estimate;
-use crate::prefix_memory::PrefixMemory;
+use crate::prefix_cache_index::PrefixCacheIndex;
 use crate::server_groups::GroupedServer;
 use crate::server_table::ServerState;
 use crate::server_table::ServerTable;
@@ -68,7 +68,7 @@
 pub(crate) struct Placer<'a> {
     pub(crate) servers: &'a ServerTable,
     pub(crate) reach: &'a DomainReach,
-    pub(crate) prefixes: &'a PrefixMemory,
+    pub(crate) prefixes: &'a PrefixCacheIndex,
     pub(crate) own_domain: NameHash,
     /// The region of this instance; `None` if it is unknown.
     pub(crate) own_region: Option<NameHash>,
--- a/crates/reedsail_dispatch/src/prefix_memory.rs
+++ b/crates/reedsail_dispatch/src/prefix_cache_index.rs
@@ -1,4 +1,4 @@
-//! Prefix memory: the prompt segments that any instance recently sent to each backend server.
+//! Prefix cache index: the prompt segments that any instance recently sent to each backend server.
 //!
 //! The entries are hints. A server may have evicted a segment from its cache, which costs prefilling the
 //! segment again. Owns the rows for the next load reports. The caller records segments that are sent and
@@ -41,13 +41,13 @@
 
 /// The servers that recently got each segment, by the segment's hash.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PrefixMemory {
+pub(crate) struct PrefixCacheIndex {
     segments: HashMap<u32, Vec<Holder>>,
     /// Rows for the next reports, each with the number of remaining reports that include it.
     unreported: Vec<(PrefixRow, u8)>,
 }
 
-impl PrefixMemory {
+impl PrefixCacheIndex {
     /// Records that this instance sent a segment to a server.
     pub(crate) fn record_sent(&mut self, id: u64, server: ServerKey, name: NameHash, now: TimeMs) {
         let segment = segment_hash(id);
--- a/crates/reedsail_scheduling/src/affinity.rs
+++ b/crates/reedsail_scheduling/src/affinity.rs
@@ -1,7 +1,7 @@
 //! Which backend server probably has a prompt's prefix in its cache: a hint, never a truth.
 //!
 //! One server a prefix, by this daemon's own dispatches and the engines' cache events. The router's memory
-//! is another (`prefix_memory` of `reedsail_dispatch`): several servers a segment, reported among instances.
+//! is another (`prefix_cache_index` of `reedsail_dispatch`): several servers a segment, reported among instances.
 
 use std::collections::HashMap;
 
