--- a/crates/reedsail_dispatch/benches/large_fleet.rs
+++ b/crates/reedsail_dispatch/benches/large_fleet.rs
@@ -1,6 +1,7 @@
-//! What one instance pays for the size of the fleet: a decision, a report, a tick, a list, by servers.
+//! The cost of a decision, a report, a tick and a list update on one instance, by the number of servers.
 //!
-//! `cargo bench -p reedsail_dispatch --bench large_fleet`; prints microseconds of one call, a mean over many.
+//! `cargo bench -p reedsail_dispatch --bench large_fleet` prints the mean time of one call over many calls, in
+//! microseconds.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -94,7 +95,7 @@
 }
 
 fn main() {
-    println!("servers | decision | report | list tick | whole list read again | one change taken over");
+    println!("servers | decision | report | list tick | whole list read again | one change applied");
     for servers in SIZES {
         let setups: Vec<ServerSetup> = (0..servers).map(setup).collect();
         let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall-0"));
@@ -105,7 +106,7 @@
         let report = mean_us(1_000, |_| drop(black_box(dispatcher.report(NOW))));
         let mut list = ServerList::default();
         list.apply(whole_update(servers), NOW, NOW);
-        take_over(&mut list, &mut dispatcher);
+        apply_changes(&mut list, &mut dispatcher);
         let tick = mean_us(200, |_| drop(black_box(list.tick(NOW))));
         let again = mean_us(2, |_| {
             drop(black_box(list.apply(whole_update(servers), NOW, NOW)));
@@ -117,14 +118,14 @@
                 changes: vec![ServerChange::Announced(record(number, true))],
             };
             list.apply(update, NOW, NOW);
-            take_over(&mut list, &mut dispatcher);
+            apply_changes(&mut list, &mut dispatcher);
         });
         println!("{servers} | {decision:.1} | {report:.1} | {tick:.1} | {again:.0} | {change:.1}");
     }
 }
 
-/// Has the decisions take over what has changed in the list, as the router's control thread does.
-fn take_over(list: &mut ServerList, dispatcher: &mut Dispatcher) {
+/// Applies the changes of the list to the dispatcher, as the router's control thread does.
+fn apply_changes(list: &mut ServerList, dispatcher: &mut Dispatcher) {
     let changes = list.take_use_changes(NOW);
     let setups: Vec<ServerSetup> = changes.used.iter().map(setup_of).collect();
     dispatcher.update_servers(&setups, &changes.gone);
--- a/crates/reedsail_dispatch/src/departures.rs
+++ b/crates/reedsail_dispatch/src/departures.rs
@@ -1,6 +1,6 @@
-//! Departures: which servers drain or have departed, by this instance's own list and by what peers advertise.
+//! Departures: which servers are draining or have departed, according to this instance's own list and to its peers.
 //!
-//! Owns both with the time until which each counts; `server_list` decides which of them to believe.
+//! Owns both sets of departures and their expiry times. `server_list` decides which departures to apply.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -8,21 +8,21 @@
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
 
-/// How long a departure that a peer advertised counts, in milliseconds.
+/// How long a departure advertised by a peer is valid, in milliseconds.
 const ADVERTISED_DEPARTURE_MS: u64 = 5_000;
 /// How long this instance advertises a departure, in milliseconds.
 const ADVERTISE_MS: u64 = 15_000;
 
-/// Departures that one message advertises at most: it must fit a datagram, also while a whole failure domain's servers
-/// depart. Peers fetch the others with the list.
+/// Maximum number of departures in one message. The message must fit a datagram even when the servers of a whole
+/// failure domain depart. Peers fetch the remaining departures with the list.
 const ADVERTISED_MAX: usize = 1_024;
 
-/// How a departure is known.
+/// How this instance learned of a departure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Evidence {
-    /// The server's record said it, or was dropped with nothing wrong.
+pub(crate) enum DepartureEvidence {
+    /// The server's record said so, or the record was dropped while the store was healthy.
     Recorded,
-    /// Its record was missing for longer than trouble with the store explains. The server may be well.
+    /// The record was missing for longer than a store outage explains. The server may still be healthy.
     Missing,
 }
 
@@ -30,26 +30,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Departure {
     until: TimeMs,
-    evidence: Evidence,
+    evidence: DepartureEvidence,
 }
 
-/// The departures that are known, by the name of the server's incarnation.
+/// The known departures, by the name of the server's incarnation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Departures {
-    /// Servers that drain or departed, by this instance's own list.
+    /// Servers that are draining or have departed according to this instance's own list.
     own: HashMap<NameHash, Departure>,
-    /// Departures that peers advertised, and until when each counts.
+    /// Departures advertised by peers, with the expiry time of each.
     advertised: HashMap<NameHash, TimeMs>,
 }
 
 impl Departures {
-    /// Records that a server drains or has departed.
-    pub(crate) fn record(&mut self, server: NameHash, evidence: Evidence, now: TimeMs) {
+    /// Records that a server is draining or has departed.
+    pub(crate) fn record(&mut self, server: NameHash, evidence: DepartureEvidence, now: TimeMs) {
         let until = now.plus_ms(ADVERTISE_MS);
         self.own.insert(server, Departure { until, evidence });
     }
 
-    /// Takes in what a peer advertises; returns what was not known of it.
+    /// Stores the departures that a peer advertises and returns those that no peer had advertised before.
     pub(crate) fn receive(&mut self, servers: &[NameHash], now: TimeMs) -> Vec<NameHash> {
         let until = now.plus_ms(ADVERTISED_DEPARTURE_MS);
         let mut unknown = Vec::new();
@@ -61,52 +61,53 @@
         unknown
     }
 
-    /// Tells whether a departure that peers advertised counts.
+    /// Returns whether there is any valid departure advertised by a peer.
     pub(crate) fn has_advertised(&self) -> bool {
         !self.advertised.is_empty()
     }
 
-    /// Forgets a server that takes work.
+    /// Removes all departures of a server that accepts work.
     pub(crate) fn forget(&mut self, server: NameHash) {
         self.own.remove(&server);
         self.advertised.remove(&server);
     }
 
-    /// Forgets a server whose record is there again, unless a record had said that it departs.
+    /// Removes this instance's departure of a server whose record has reappeared, unless a record had announced the
+    /// departure.
     pub(crate) fn forget_inferred(&mut self, server: NameHash) {
         if !self.is_recorded(server) {
             self.own.remove(&server);
         }
     }
 
-    /// Forgets what peers advertised of a server; `true` if they did.
+    /// Removes the departure of a server that peers advertised. Returns whether there was one.
     pub(crate) fn forget_advertised(&mut self, server: NameHash) -> bool {
         self.advertised.remove(&server).is_some()
     }
 
-    /// Tells whether anything is known of a server's departure.
-    pub(crate) fn concern(&self, server: NameHash) -> bool {
+    /// Returns whether this instance or a peer has recorded a departure of the server.
+    pub(crate) fn has_any(&self, server: NameHash) -> bool {
         self.own.contains_key(&server) || self.advertised.contains_key(&server)
     }
 
-    /// Tells whether this instance knows a server to drain or to have departed.
+    /// Returns whether this instance's own list has recorded that the server is draining or has departed.
     pub(crate) fn is_known(&self, server: NameHash) -> bool {
         self.own.contains_key(&server)
     }
 
-    /// Tells whether a server's record said that it drains or has departed.
+    /// Returns whether the server's record said that it is draining or has departed.
     pub(crate) fn is_recorded(&self, server: NameHash) -> bool {
         let departure = self.own.get(&server);
-        departure.is_some_and(|departure| departure.evidence == Evidence::Recorded)
+        departure.is_some_and(|departure| departure.evidence == DepartureEvidence::Recorded)
     }
 
-    /// Tells whether a peer advertised a server's departure lately.
+    /// Returns whether a peer has advertised the server's departure and that departure is still valid.
     pub(crate) fn is_advertised(&self, server: NameHash, now: TimeMs) -> bool {
         self.advertised.get(&server).is_some_and(|until| *until > now)
     }
 
-    /// Returns what this instance advertises: the newest, if there are more than a message holds.
-    pub(crate) fn names(&self) -> Vec<NameHash> {
+    /// Returns the departures to advertise: the newest ones if there are more than fit a message.
+    pub(crate) fn to_advertise(&self) -> Vec<NameHash> {
         let mut own: Vec<(Reverse<TimeMs>, NameHash)> = self
             .own
             .iter()
@@ -119,23 +120,23 @@
         own.into_iter().map(|(_, server)| server).collect()
     }
 
-    /// Drops what no longer counts, and returns the servers that it was known of.
+    /// Drops expired departures and returns their servers.
     pub(crate) fn tick(&mut self, now: TimeMs) -> Vec<NameHash> {
-        let mut ended = Vec::new();
+        let mut expired = Vec::new();
         self.own.retain(|server, departure| {
-            let counts = departure.until > now;
-            if !counts {
-                ended.push(*server);
+            let is_valid = departure.until > now;
+            if !is_valid {
+                expired.push(*server);
             }
-            counts
+            is_valid
         });
         self.advertised.retain(|server, until| {
-            let counts = *until > now;
-            if !counts {
-                ended.push(*server);
+            let is_valid = *until > now;
+            if !is_valid {
+                expired.push(*server);
             }
-            counts
+            is_valid
         });
-        ended
+        expired
     }
 }
--- a/crates/reedsail_dispatch/src/domain_reach.rs
+++ b/crates/reedsail_dispatch/src/domain_reach.rs
@@ -1,16 +1,17 @@
-//! Domain reach: whether the servers of other failure domains can be connected to at all.
+//! Domain reachability: whether the servers of other failure domains can be connected to at all.
 //!
-//! **Rule.** Once [`CONNECTS_MAX`] connects in a row to different servers of another failure domain were not answered,
-//! all its servers count as unreachable; once connects to [`DOMAINS_MAX`] failure domains were not, and nothing in
-//! another one has answered since, those of all others do: this instance is cut off. Either holds for [`SPAN_MIN_MS`],
-//! and for twice as long each time that the next connect is not answered, up to [`SPAN_MAX_MS`]. A server that answers
-//! in any way ends it. A single connect that is not answered makes a failure domain suspect, unless a server there has
-//! answered within [`ANSWERED_MS`].
+//! **Rule.** All servers of another failure domain count as unreachable once [`UNANSWERED_CONNECTS_MAX`] consecutive
+//! connects to different servers there went unanswered. The servers of all other failure domains count as unreachable
+//! once connects to [`UNANSWERED_DOMAINS_MAX`] failure domains went unanswered and no other domain has answered
+//! since: this instance is then partitioned from the rest. Either state lasts [`PAUSE_MIN_MS`] and doubles each time
+//! the next connect goes unanswered, up to [`PAUSE_MAX_MS`]. Any answer of a server ends it. A single unanswered
+//! connect makes a failure domain suspect, unless a server there has answered within [`RECENT_ANSWER_MS`].
 //!
 //! **Inputs.** The outcomes of this instance's attempts, by server and failure domain; times in milliseconds.
 //!
-//! **Why.** What is learned of a single server is of use only to an instance that sends there again. Where there are
-//! more servers than an instance sends requests, a cut would cost each request a connect that is not answered.
+//! **Why.** Knowledge about a single server helps only an instance that sends there again. Where there are more
+//! servers than an instance sends requests, a network partition would otherwise cost each request an unanswered
+//! connect.
 //!
 //! **Tested by** `tests/domain_reach.rs`.
 
@@ -22,56 +23,57 @@
 
 use crate::AttemptOutcome;
 
-/// Connects in a row that are not answered before a failure domain counts as unreachable.
-const CONNECTS_MAX: u32 = 2;
-/// Failure domains that do not answer before all others count as unreachable.
-const DOMAINS_MAX: usize = 2;
-/// How long either holds at first, in milliseconds.
-const SPAN_MIN_MS: u64 = 1_000;
-/// How long either holds at most, in milliseconds.
-const SPAN_MAX_MS: u64 = 4_000;
-/// How long an answer from a failure domain tells a server that does not answer from a cut, in milliseconds.
-const ANSWERED_MS: u64 = 500;
+/// Consecutive unanswered connects after which a failure domain counts as unreachable.
+const UNANSWERED_CONNECTS_MAX: u32 = 2;
+/// Number of unanswered failure domains after which all others count as unreachable.
+const UNANSWERED_DOMAINS_MAX: usize = 2;
+/// First pause after a failure domain, or all of them, became unreachable, in milliseconds.
+const PAUSE_MIN_MS: u64 = 1_000;
+/// Longest pause, in milliseconds.
+const PAUSE_MAX_MS: u64 = 4_000;
+/// How long an answer from a failure domain proves that the domain is reachable, in milliseconds: an unanswered
+/// connect within this time means a failed server, not a network partition.
+const RECENT_ANSWER_MS: u64 = 500;
 
-/// A time during which nothing is sent, which grows as long as nothing is answered.
+/// A period in which nothing is sent. Each period is longer than the one before until a server answers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Pause {
     until: TimeMs,
-    /// Zero before the first one.
-    span_ms: u64,
+    /// Zero before the first pause.
+    duration_ms: u64,
 }
 
 impl Pause {
-    /// Begins the next one, if none is under way.
+    /// Starts the next pause unless one is active.
     fn begin(&mut self, now: TimeMs) {
         if self.until <= now {
-            self.span_ms = (self.span_ms * 2).clamp(SPAN_MIN_MS, SPAN_MAX_MS);
-            self.until = now.plus_ms(self.span_ms);
+            self.duration_ms = (self.duration_ms * 2).clamp(PAUSE_MIN_MS, PAUSE_MAX_MS);
+            self.until = now.plus_ms(self.duration_ms);
         }
     }
 }
 
-/// What is known of one failure domain.
+/// The reachability of one failure domain.
 #[derive(Clone, Copy, Debug, Default)]
-struct Reach {
-    /// When a server there last answered; `None` if none has.
+struct DomainState {
+    /// When a server of the domain last answered; `None` if none has.
     answered_at: Option<TimeMs>,
-    /// Connects in a row that were not answered.
+    /// Consecutive unanswered connects.
     unanswered: u32,
     last_unanswered: Option<ServerKey>,
     pause: Pause,
 }
 
-/// What is known of the other failure domains.
+/// The reachability of the other failure domains.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DomainReach {
-    domains: HashMap<NameHash, Reach>,
-    /// For all of them.
+    domains: HashMap<NameHash, DomainState>,
+    /// The pause that applies to all domains.
     pause: Pause,
 }
 
 impl DomainReach {
-    /// Takes in the outcome of an attempt on a server of another failure domain.
+    /// Records the outcome of an attempt on a server of another failure domain.
     pub(crate) fn record(
         &mut self,
         domain: NameHash,
@@ -85,54 +87,54 @@
             | AttemptOutcome::Failed
             | AttemptOutcome::Rejected
             | AttemptOutcome::Down => self.record_answered(domain, now),
-            // The connection may have been opened before the domain was cut off.
+            // The connection may have been opened before the network partition.
             AttemptOutcome::Broken | AttemptOutcome::Abandoned => {}
         }
     }
 
-    /// Records that a server of another failure domain has answered: this instance is not cut off, whatever other
-    /// domains are.
+    /// Records that a server of another failure domain has answered. This instance is then not partitioned from the
+    /// rest, even if other domains are unreachable.
     pub(crate) fn record_answered(&mut self, domain: NameHash, now: TimeMs) {
         self.pause = Pause::default();
-        let reach = Reach {
+        let state = DomainState {
             answered_at: Some(now),
-            ..Reach::default()
+            ..DomainState::default()
         };
-        self.domains.insert(domain, reach);
+        self.domains.insert(domain, state);
     }
 
     fn record_unanswered(&mut self, domain: NameHash, server: ServerKey, now: TimeMs) {
-        let reach = self.domains.entry(domain).or_default();
-        if reach.last_unanswered != Some(server) {
-            reach.unanswered += 1;
+        let state = self.domains.entry(domain).or_default();
+        if state.last_unanswered != Some(server) {
+            state.unanswered += 1;
         }
-        reach.last_unanswered = Some(server);
-        if reach.unanswered >= CONNECTS_MAX {
-            reach.pause.begin(now);
+        state.last_unanswered = Some(server);
+        if state.unanswered >= UNANSWERED_CONNECTS_MAX {
+            state.pause.begin(now);
         }
-        let silent = self.domains.values().filter(|reach| reach.unanswered > 0);
-        let is_heard = |reach: &Reach| reach.unanswered == 0 && reach.has_answered_lately(now);
-        if silent.count() >= DOMAINS_MAX && !self.domains.values().any(is_heard) {
+        let unanswered_domains = self.domains.values().filter(|state| state.unanswered > 0);
+        let is_answering = |state: &DomainState| state.unanswered == 0 && state.has_answered_recently(now);
+        if unanswered_domains.count() >= UNANSWERED_DOMAINS_MAX && !self.domains.values().any(is_answering) {
             self.pause.begin(now);
         }
     }
 
-    /// Tells whether a server of a failure domain that does not answer may be beyond a cut.
+    /// Returns whether an unanswered connect to this failure domain may mean a network partition.
     pub(crate) fn is_suspect(&self, domain: NameHash, now: TimeMs) -> bool {
-        let reach = self.domains.get(&domain);
-        !reach.is_some_and(|reach| reach.has_answered_lately(now))
+        let state = self.domains.get(&domain);
+        !state.is_some_and(|state| state.has_answered_recently(now))
     }
 
-    /// Tells whether the servers of another failure domain may be connected to, as far as is known.
+    /// Returns whether the servers of another failure domain count as reachable.
     pub(crate) fn is_reachable(&self, domain: NameHash, now: TimeMs) -> bool {
-        let reach = self.domains.get(&domain);
-        self.pause.until <= now && reach.is_none_or(|reach| reach.pause.until <= now)
+        let state = self.domains.get(&domain);
+        self.pause.until <= now && state.is_none_or(|state| state.pause.until <= now)
     }
 }
 
-impl Reach {
-    fn has_answered_lately(&self, now: TimeMs) -> bool {
+impl DomainState {
+    fn has_answered_recently(&self, now: TimeMs) -> bool {
         let answered_at = self.answered_at;
-        answered_at.is_some_and(|answered_at| now.since_ms(answered_at) < ANSWERED_MS)
+        answered_at.is_some_and(|answered_at| now.since_ms(answered_at) < RECENT_ANSWER_MS)
     }
 }
--- a/crates/reedsail_dispatch/src/duty_rank.rs
+++ b/crates/reedsail_dispatch/src/duty_rank.rs
@@ -1,21 +1,21 @@
-//! The order in which the instances of a failure domain take on duties for the others.
+//! The order in which the instances of a failure domain are elected for shared tasks.
 
 use std::cmp::Reverse;
 
 use reedsail_core::NameHash;
 
-/// An instance's rank: the one with the largest share of processor comes first, then the smallest name hash.
-/// Every instance comes to the same order without a message.
+/// An instance's rank in an election. The instance with the largest processor share comes first; the smallest name
+/// hash breaks ties. Every instance computes the same order without exchanging messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DutyRank(Reverse<u32>, NameHash);
 
 impl DutyRank {
-    /// Makes the rank of an instance that may use so much of a core, in thousandths.
+    /// Returns the rank of an instance with the given processor share, in thousandths of a core.
     pub fn of(instance: NameHash, processor_milli: u32) -> Self {
         Self(Reverse(processor_milli), instance)
     }
 
-    /// Returns the share of a core, in thousandths.
+    /// Returns the processor share, in thousandths of a core.
     pub fn processor_milli(self) -> u32 {
         self.0.0
     }
--- a/crates/reedsail_dispatch/src/gossip_timing.rs
+++ b/crates/reedsail_dispatch/src/gossip_timing.rs
@@ -1,53 +1,53 @@
-//! Gossip timing: how often instances send load messages to each peer directly, and from when on silence
-//! means something. In larger fleets load goes through aggregators (`reedsail_gossip`), and these times hold
-//! for the few peers that are sent direct messages.
+//! Gossip timing: how often instances send load messages directly to each peer, and how long a peer must be silent
+//! before that counts as a failure. In larger fleets load is exchanged through aggregators (`reedsail_gossip`), and
+//! these times apply to the few peers that receive direct messages.
 //!
-//! **Rule.** Messages go out every [`INTERVAL_MIN_MS`], or [`INTERVAL_PER_PEER_MS`] for each peer where
-//! that is longer. Every time limit on silence is at least [`SILENT_INTERVALS`] intervals.
+//! **Rule.** Messages are sent every [`INTERVAL_MIN_MS`], or every [`INTERVAL_PER_PEER_MS`] times the number of peers
+//! if that is longer. Every limit on silence is at least [`SILENT_INTERVALS`] intervals.
 //!
-//! **Inputs.** The number of peers that are sent direct messages.
+//! **Inputs.** The number of peers that receive direct messages.
 //!
-//! **Why.** What an instance sends in a second must not grow with the fleet, and limits that do not
-//! follow the interval would lose peers that are alive: beyond 150 instances every one would read the
-//! store, beyond 375 every report would expire.
+//! **Why.** The messages that an instance sends in a second must not grow with the fleet. Limits that do not follow
+//! the interval would lose live peers: beyond 150 instances every instance would read the store, beyond 375 every
+//! report would expire.
 //!
 //! **Tested by** `tests/gossip_timing.rs`.
 
 /// Shortest interval between two load messages, in milliseconds.
 const INTERVAL_MIN_MS: u64 = 100;
-/// Interval for each peer, in milliseconds: an instance sends 250 messages a second at most.
+/// Interval per peer, in milliseconds: an instance sends at most 250 messages a second.
 const INTERVAL_PER_PEER_MS: u64 = 4;
-/// Least silence after which a peer counts as gone and its report as void, in milliseconds.
+/// Minimum silence after which a peer counts as failed and its report expires, in milliseconds.
 const SILENT_MIN_MS: u64 = 1_500;
-/// Least silence after which a peer is not counted on to read the store, in milliseconds.
+/// Minimum silence after which a peer no longer counts as a reader of the store, in milliseconds.
 const READER_SILENT_MIN_MS: u64 = 600;
-/// Silence means something after this many intervals at least: one message may be lost.
+/// Minimum number of silent intervals before a peer counts as failed, since messages may be lost.
 const SILENT_INTERVALS: u64 = 3;
-/// An update takes this many intervals at most to arrive: one message may be lost.
+/// Maximum number of intervals until an update arrives: one message may be lost.
 const UPDATE_INTERVALS: u64 = 2;
 
-/// The times that follow from the number of peers.
+/// The times derived from the number of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GossipTiming {
-    /// From one load message to the next, in milliseconds.
+    /// Time between two load messages, in milliseconds.
     pub interval_ms: u64,
-    /// Silence after which a peer counts as gone and its report as void, in milliseconds.
+    /// Silence after which a peer counts as failed and its report expires, in milliseconds.
     pub peer_silent_ms: u64,
-    /// Silence after which a peer is not counted on to read the store, in milliseconds.
+    /// Silence after which a peer no longer counts as a reader of the store, in milliseconds.
     pub reader_silent_ms: u64,
-    /// How much later than in a small fleet an update may arrive, in milliseconds.
+    /// How much later an update may arrive than in a small fleet, in milliseconds.
     pub update_delay_ms: u64,
 }
 
 impl Default for GossipTiming {
-    /// Returns the times of an instance without peers.
+    /// Returns the times for an instance without peers.
     fn default() -> Self {
         Self::of(0)
     }
 }
 
 impl GossipTiming {
-    /// Works the times out from the number of peers that are alive.
+    /// Returns the times for a number of live peers.
     pub fn of(peers: usize) -> Self {
         let interval_ms = (peers as u64 * INTERVAL_PER_PEER_MS).max(INTERVAL_MIN_MS);
         Self {
--- a/crates/reedsail_dispatch/src/list_delta.rs
+++ b/crates/reedsail_dispatch/src/list_delta.rs
@@ -1,24 +1,24 @@
-//! What an update changed in the server list, by the ids of the servers, for log lines and publication.
+//! The changes that an update made to the server list, by server id, for log lines and publication.
 
-/// What has changed in the list.
+/// The changes of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListDelta {
-    /// Servers that are new.
+    /// New servers.
     pub listed: Vec<String>,
-    /// Servers that started again under their id.
+    /// Servers that restarted under their id.
     pub restarted: Vec<String>,
-    /// Servers that turned cold, are cold for longer than was known, or are warm again.
+    /// Servers that became cold, stay cold for longer than known before, or became warm.
     pub cold: Vec<String>,
-    /// Servers that began to drain.
+    /// Servers that started draining.
     pub draining: Vec<String>,
     /// Servers that departed.
     pub unlisted: Vec<String>,
-    /// Records that cannot be read, each with what is wrong.
+    /// Ids of unreadable records, each with the error.
     pub unreadable: Vec<(String, String)>,
 }
 
 impl ListDelta {
-    /// Tells whether the list stayed the same.
+    /// Returns whether the list is unchanged.
     pub fn is_empty(&self) -> bool {
         let changes = [
             &self.listed,
--- a/crates/reedsail_dispatch/src/list_history.rs
+++ b/crates/reedsail_dispatch/src/list_history.rs
@@ -1,14 +1,15 @@
-//! The latest changes of a server list, by which a peer that knows an earlier state is sent the difference alone.
+//! The latest changes of a server list. They make it possible to send a peer that has an earlier version of the list
+//! only the difference.
 //!
-//! Owns the digest before each change and the id of the server that changed; relies on the list for the rest.
+//! Owns the digest before each change and the id of the changed server. The list itself supplies the records.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Changes that are kept at least; a peer that is further behind fetches the whole list.
+/// Minimum number of changes to keep. A peer that is further behind fetches the whole list.
 const CHANGES_MIN: usize = 1_024;
-/// Fraction of the list, as a divisor, up to which changes are kept: a difference of more is no shorter than the list.
+/// Divisor of the list length up to which changes are kept: a longer difference is no shorter than the list.
 const CHANGES_DIVISOR: usize = 2;
 
 #[derive(Clone, Debug)]
@@ -17,14 +18,14 @@
     id: Arc<str>,
 }
 
-/// The latest changes, the oldest first.
+/// The latest changes, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListHistory {
     changes: VecDeque<Change>,
 }
 
 impl ListHistory {
-    /// Records that a server changed in a list of that digest, which has so many servers now.
+    /// Records that a server changed. `servers` is the length of the list after the change.
     pub(crate) fn record(&mut self, digest_before: u64, id: &Arc<str>, servers: usize) {
         let changes_max = CHANGES_MIN.max(servers / CHANGES_DIVISOR);
         let excess = (self.changes.len() + 1).saturating_sub(changes_max);
@@ -33,13 +34,14 @@
         self.changes.push_back(Change { digest_before, id });
     }
 
-    /// Returns the servers that changed since the list had a digest, each once; `None` if that is not known.
+    /// Returns the servers that changed since the list had the given digest, each once; `None` if that digest is
+    /// unknown.
     pub(crate) fn since(&self, digest: u64) -> Option<HashSet<Arc<str>>> {
         let newest_first = self.changes.iter().rev();
-        let behind = newest_first
+        let changes_since = newest_first
             .clone()
             .position(|change| change.digest_before == digest)?;
-        let changed = newest_first.take(behind + 1);
+        let changed = newest_first.take(changes_since + 1);
         Some(changed.map(|change| Arc::clone(&change.id)).collect())
     }
 }
--- a/crates/reedsail_dispatch/src/load_report.rs
+++ b/crates/reedsail_dispatch/src/load_report.rs
@@ -1,5 +1,5 @@
-//! The load report of an instance to its peers: rows by backend server, workspace, prompt segment and suspected
-//! request.
+//! The load report that an instance sends to its peers: rows by backend server, workspace, prompt segment and
+//! suspected request.
 
 use std::cmp::Reverse;
 
@@ -11,17 +11,17 @@
 pub struct ServerLoadRow {
     /// The backend server.
     pub server: NameHash,
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not finished.
     pub running: u16,
-    /// Failure rate of the latest attempts, 255 for one.
+    /// Failure rate of the latest attempts; 255 stands for a rate of one.
     pub failure_rate: u8,
-    /// Prompt tokens that wait there to be prefilled.
+    /// Prompt tokens that wait for prefill on the server.
     pub prefill_tokens: u32,
-    /// Nothing answered at its address just now.
+    /// Whether nothing listened at the server's address recently.
     pub is_down: bool,
-    /// It said in an answer that it drains, and its record does not say so.
+    /// Whether the server announced in an answer that it is draining while its record does not say so.
     pub is_draining: bool,
-    /// It asked for time that is not over.
+    /// Whether the server asked for back-off that has not ended.
     pub is_backed_off: bool,
 }
 
@@ -32,11 +32,11 @@
     pub workspace: NameHash,
     /// Cost of its requests, in tokens.
     pub requested_cost: f32,
-    /// Cost of those that were sent to a server, in tokens.
+    /// Cost of the requests that were sent to a server, in tokens.
     pub sent_cost: f32,
-    /// Prompt tokens that its requests lately wanted prefilled, each counted by its age (see `fair_share`).
+    /// Prompt tokens that its recent requests needed prefilled, weighted by age (see `fair_share`).
     pub recent_prefill_tokens: f32,
-    /// Cost lately sent, counted by age as well.
+    /// Cost of the requests recently sent to a server, weighted by age as well.
     pub recent_sent_cost: f32,
 }
 
@@ -49,23 +49,23 @@
     pub server: NameHash,
 }
 
-/// What an instance knows of a request under which servers ended.
+/// A request during which servers ended, as one instance knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectRow {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The workspace that it counts against.
+    /// The workspace that the request is charged to.
     pub workspace: NameHash,
-    /// Starts of servers that ended under it; none if it was answered whole since.
+    /// Incarnations of servers that ended during the request; empty if the request was answered completely since.
     pub servers: Vec<NameHash>,
-    /// How long ago the last of them ended, or it was answered, in milliseconds.
+    /// Time since the last of these servers ended, or since the request was answered, in milliseconds.
     pub changed_ms_ago: u32,
-    /// How long ago it last came, in milliseconds.
+    /// Time since the request was last received, in milliseconds.
     pub seen_ms_ago: u32,
 }
 
 impl SuspectRow {
-    /// Drops all but so many rows: those with the most ends stay, of these the newest.
+    /// Keeps at most `count_max` rows: those with the most ended servers, and of these the newest.
     pub fn keep_most_telling(rows: &mut Vec<Self>, count_max: usize) {
         rows.sort_by_key(|row| (Reverse(row.servers.len()), row.changed_ms_ago, row.fingerprint));
         rows.truncate(count_max);
@@ -75,18 +75,18 @@
 /// The load of an instance; each report replaces the one before it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Load by backend server; a server that is not named has none.
+    /// Load by backend server; servers without a row have no load.
     pub servers: Vec<ServerLoadRow>,
-    /// Use by workspace; a workspace that is not named has none.
+    /// Use by workspace; workspaces without a row have no use.
     pub workspaces: Vec<WorkspaceUseRow>,
-    /// Segments that were recently sent to a server for the first time, or again after a while.
+    /// Segments that were recently sent to a server for the first time, or again after some time.
     pub prefixes: Vec<PrefixRow>,
-    /// Requests under which servers ended.
+    /// Requests during which servers ended.
     pub suspects: Vec<SuspectRow>,
 }
 
 impl LoadReport {
-    /// Returns a copy of the amounts, without the segments: those are news and enter no sum.
+    /// Returns a copy without the segments, which are updates and not part of any sum.
     #[must_use]
     pub fn without_prefixes(&self) -> Self {
         Self {
--- a/crates/reedsail_dispatch/src/peer_list_state.rs
+++ b/crates/reedsail_dispatch/src/peer_list_state.rs
@@ -1,30 +1,30 @@
-//! What a load message says of its sender's server list, and how that compares with the own one.
+//! The state of a peer's server list in a load message, and how it compares with this instance's list.
 
 use reedsail_core::NameHash;
 use reedsail_core::StorePosition;
 
-/// The state of a peer's list, as its load message has it.
+/// The state of a peer's list, as sent in its load message.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerListState<'a> {
-    /// The place in the store's log up to which the list is known.
+    /// The position in the store's log up to which the list is known.
     pub revision: StorePosition,
     /// The digest of the list.
     pub digest: u64,
-    /// How long ago it was known to be the newest, in milliseconds.
+    /// Time since the list was known to be current, in milliseconds.
     pub age_ms: u64,
-    /// Servers that the peer knows to be draining or departed.
+    /// Servers that are draining or have departed according to the peer.
     pub departures: &'a [NameHash],
 }
 
 /// How a peer's list compares with this instance's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListComparison {
-    /// It has nothing newer.
+    /// The peer's list is not newer.
     NothingNew,
-    /// It is newer and is to be fetched.
+    /// The peer's list is newer and must be fetched.
     Newer,
-    /// It is newer, and names departures that were not known.
+    /// The peer's list is newer and names departures that were unknown here.
     NewerWithDepartures,
-    /// It has nothing to fetch, and shows that departures which peers advertised are over.
+    /// The peer's list need not be fetched, but shows that advertised departures have ended.
     DeparturesChanged,
 }
--- a/crates/reedsail_dispatch/src/peer_reports.rs
+++ b/crates/reedsail_dispatch/src/peer_reports.rs
@@ -1,8 +1,8 @@
-//! The latest load report of each peer, and until when it counts. An aggregator's report stands for all
-//! instances that it sums up.
+//! The latest load report of each peer with its expiry time. An aggregator's report stands for all instances that it
+//! sums up.
 //!
-//! Owns the reports; their sums stand in the tables of servers and of workspaces, from which a report is
-//! taken off again before the next one is added.
+//! Owns the reports. Their sums are in the tables of servers and of workspaces: an old report is subtracted there
+//! before the next one is added.
 
 use std::collections::HashMap;
 
@@ -27,7 +27,7 @@
 }
 
 impl PeerReports {
-    /// Takes in a report, which replaces the last one of its peer.
+    /// Stores a report, which replaces the previous one of its peer.
     pub(crate) fn receive(
         &mut self,
         peer: NameHash,
@@ -51,7 +51,7 @@
                     servers.record_down(key, false, now);
                 }
                 if row.is_backed_off {
-                    servers.get_mut(key).backoff.record_peer(now);
+                    servers.get_mut(key).backoff.record_peer_report(now);
                 }
                 if row.is_draining {
                     servers.record_draining(key, false);
@@ -61,7 +61,7 @@
         self.reports.insert(peer, PeerReport { report, valid_until });
     }
 
-    /// Drops a peer's report.
+    /// Drops a peer's report and subtracts it from the sums.
     pub(crate) fn remove(&mut self, peer: NameHash, servers: &mut ServerTable, usage: &mut UsageTable) {
         if let Some(old) = self.reports.remove(&peer) {
             servers.add_peer(&old.report.servers, false);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sums the load of servers up anew once the list has changed: rows of unknown ones had been skipped.
+    /// Recomputes the load of the servers after a change of the list: rows of unknown servers had been skipped.
     pub(crate) fn recount(&self, servers: &mut ServerTable) {
         servers.clear_peers();
         for report in self.reports.values() {
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Returns the servers that the reports name; one may come several times.
+    /// Returns the servers named in the reports, possibly with duplicates.
     pub(crate) fn servers(&self) -> impl Iterator<Item = NameHash> {
         let rows = self.reports.values().flat_map(|report| &report.report.servers);
         rows.map(|row| row.server)
     }
 
-    /// Returns the number of peers with a report that counts.
+    /// Returns the number of peers with a valid report.
     pub(crate) fn count(&self) -> usize {
         self.reports.len()
     }
--- a/crates/reedsail_dispatch/src/server_ends.rs
+++ b/crates/reedsail_dispatch/src/server_ends.rs
@@ -1,15 +1,15 @@
-//! Server ends: which backend servers have ended, and which requests broke off there.
+//! Server ends: which backend servers have ended, and which requests were running there.
 //!
-//! **Rule.** After a connection broke the instance connects to the server once more. If that is accepted, only the
-//! connection broke. If nothing listens there, as this instance or a peer found, or the server's record is gone
-//! within [`WAIT_MS`] although it was not draining, the server has ended, and the request counts as one that ran
-//! there then.
+//! **Rule.** After a connection broke, the instance connects to the server once more. If the connect succeeds, only
+//! the connection broke. The server has ended if the connect is refused, as this instance or a peer found, or if the
+//! server's record disappears within [`END_DETECTION_MAX_MS`] although the server was not draining. The broken
+//! request then counts as running there when the server ended.
 //!
-//! **Inputs.** Attempts that broke, checks, connects that failed because nothing listens, the server list.
+//! **Inputs.** Attempts that broke, check connects, refused connects, the server list.
 //!
-//! **Why.** A broken connection does not say whether the server ended: connections are reset by much else. The
-//! difference decides whether a request is suspected of having ended the server (`quarantine`). Without the check
-//! nobody may connect for seconds, since every instance that had requests there counts their breaks as failures.
+//! **Why.** A broken connection does not prove that the server ended: connections are reset for many other reasons.
+//! The difference decides whether a request is suspected of having ended the server (`quarantine`). Without the check
+//! no instance might connect for seconds, since every instance with requests there counts the breaks as failures.
 //!
 //! **Tested by** `tests/server_ends.rs`.
 
@@ -23,27 +23,27 @@
 use crate::LifeState;
 use crate::server_table::ServerTable;
 
-/// How long a broken attempt waits for its server to be found to have ended, in milliseconds: longer than the
-/// record of a crashed server stays, which was 3,300 ms at most.
-const WAIT_MS: u64 = 5_000;
-/// How much earlier than the break the server may have been found to have ended, in milliseconds: a connect is
-/// refused before a busy thread reads that another connection broke.
-const FOUND_EARLIER_MS: u64 = 500;
-/// Broken attempts that wait at most; the oldest ones go first.
-const WAITING_MAX: usize = 4_096;
+/// How long after the break the end of a server is still attributed to the attempt, in milliseconds: longer than the
+/// record of a crashed server remains, which was 3,300 ms at most.
+const END_DETECTION_MAX_MS: u64 = 5_000;
+/// How long before the break the server may already have been found down, in milliseconds: a busy thread may notice
+/// the refused connect before it reads that another connection broke.
+const FOUND_BEFORE_BREAK_MAX_MS: u64 = 500;
+/// Maximum number of pending broken attempts; the oldest are dropped first.
+const PENDING_ATTEMPTS_MAX: usize = 4_096;
 
-/// A request that broke off at a server.
+/// A request whose connection to a server broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenRequest {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The workspace that it counts against.
+    /// The workspace that the request is charged to.
     pub workspace: NameHash,
     /// When its connection broke.
     pub broke_at: TimeMs,
 }
 
-/// A server that has ended, with the requests of this instance that broke off there.
+/// A server that has ended, with this instance's requests that were running there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEnd {
     /// The server.
@@ -54,42 +54,42 @@
     pub requests: Vec<BrokenRequest>,
 }
 
-/// Attempts that broke lately.
+/// Recently broken attempts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BrokenAttempts {
-    waiting: VecDeque<(ServerKey, BrokenRequest)>,
-    /// Servers that are to be checked.
+    pending: VecDeque<(ServerKey, BrokenRequest)>,
+    /// Servers that have not been checked yet.
     unchecked: Vec<ServerKey>,
 }
 
 impl BrokenAttempts {
-    /// Records that an attempt broke.
+    /// Records a broken attempt.
     pub(crate) fn record(&mut self, server: ServerKey, request: BrokenRequest) {
-        if self.waiting.len() >= WAITING_MAX {
-            self.waiting.pop_front();
+        if self.pending.len() >= PENDING_ATTEMPTS_MAX {
+            self.pending.pop_front();
         }
-        self.waiting.push_back((server, request));
+        self.pending.push_back((server, request));
         if !self.unchecked.contains(&server) {
             self.unchecked.push(server);
         }
     }
 
-    /// Returns the servers to connect to, each once after connections there broke.
+    /// Returns the servers to check by a connect, each once after connections to it broke.
     pub(crate) fn take_unchecked(&mut self) -> Vec<ServerKey> {
         std::mem::take(&mut self.unchecked)
     }
 
-    /// Forgets the attempts that broke at a server which goes on.
+    /// Drops the broken attempts of a server that is still running.
     pub(crate) fn forget(&mut self, server: ServerKey) {
-        self.waiting.retain(|(other, _)| *other != server);
+        self.pending.retain(|(other, _)| *other != server);
     }
 
-    /// Takes out the attempts whose server has ended, by server, and drops those that have waited too long.
+    /// Removes and returns the attempts whose server has ended, by server, and drops expired attempts.
     pub(crate) fn take_ends(&mut self, servers: &ServerTable, now: TimeMs) -> Vec<ServerEnd> {
         let mut ends: Vec<ServerEnd> = Vec::new();
-        self.waiting.retain(|(server, request)| {
+        self.pending.retain(|(server, request)| {
             if !has_ended(servers, *server, request.broke_at) {
-                return now.since_ms(request.broke_at) < WAIT_MS;
+                return now.since_ms(request.broke_at) < END_DETECTION_MAX_MS;
             }
             match ends.iter_mut().find(|end| end.server == *server) {
                 Some(end) => end.requests.push(*request),
@@ -105,13 +105,13 @@
     }
 }
 
-/// Tells whether a server at which an attempt broke is known to have ended. A draining server that is gone has
-/// ended as planned.
+/// Returns whether the server of a broken attempt is known to have ended. A draining server that disappears has shut
+/// down as planned.
 fn has_ended(servers: &ServerTable, key: ServerKey, broke_at: TimeMs) -> bool {
     let server = servers.get(key);
     let is_down = server
         .found_down_at
-        .is_some_and(|found_at| found_at.plus_ms(FOUND_EARLIER_MS) >= broke_at);
+        .is_some_and(|found_at| found_at.plus_ms(FOUND_BEFORE_BREAK_MAX_MS) >= broke_at);
     let is_unlisted = server.life.state(broke_at) == LifeState::Departed;
     is_down || (is_unlisted && !server.setup.is_draining)
 }
--- a/crates/reedsail_dispatch/src/server_entries.rs
+++ b/crates/reedsail_dispatch/src/server_entries.rs
@@ -1,7 +1,7 @@
-//! The entries of the server list, with what would otherwise be worked out from all of them again and again.
+//! The entries of the server list, with derived state that would be expensive to recompute from all entries.
 //!
-//! Owns the digest of the list, the latest changes, and which servers are suspects, cold or copied. Every change
-//! goes through here, so that these stay in step with the entries.
+//! Owns the digest of the list, the latest changes, and the sets of suspect and cold servers and of servers from a backup. Every change is
+//! made here, so that these stay consistent with the entries.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -18,29 +18,29 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) record: ServerRecord,
-    /// The name of the record's incarnation.
+    /// The name of the server's incarnation.
     pub(crate) name: NameHash,
-    /// Set while its record is missing and may have lapsed because the store was out.
+    /// Set while the record is missing and may have expired only because the store was unavailable.
     pub(crate) suspect_until: Option<TimeMs>,
-    /// Until when it is cold by its record; `None` for a warm one.
+    /// Until when the server is cold according to its record; `None` for a warm server.
     pub(crate) cold_until: Option<TimeMs>,
-    /// Its record was there when the store came back from a copy, and was not written since.
-    pub(crate) is_copied: bool,
+    /// Whether the record comes from a backup that the store was restored from, and was not written since.
+    pub(crate) is_from_backup: bool,
 }
 
 impl Entry {
-    /// Makes the entry of a record that is read now.
-    pub(crate) fn of(record: ServerRecord, is_copied: bool, now: TimeMs) -> Self {
+    /// Creates the entry of a record that was read at `now`.
+    pub(crate) fn of(record: ServerRecord, is_from_backup: bool, now: TimeMs) -> Self {
         Self {
             name: record.name(),
             cold_until: record.cold_until(now),
             record,
             suspect_until: None,
-            is_copied,
+            is_from_backup,
         }
     }
 
-    /// Tells whether an instance uses the server as it does by another entry, as far as the records go.
+    /// Returns whether the records of both entries lead to the same use of the server.
     pub(crate) fn is_used_like(&self, other: &Self) -> bool {
         let (record, changed) = (&self.record, &other.record);
         self.name == other.name
@@ -52,13 +52,13 @@
             && record.is_draining == changed.is_draining
     }
 
-    /// Tells whether a record says again what is known of a warm server that takes work.
-    pub(crate) fn is_reannounced_by(&self, record: &ServerRecord, is_copied: bool) -> bool {
+    /// Returns whether a record repeats the known record of a warm server that accepts work.
+    pub(crate) fn is_reannounced_by(&self, record: &ServerRecord, is_from_backup: bool) -> bool {
         let is_settled = self.suspect_until.is_none() && self.cold_until.is_none();
-        is_settled && self.is_copied == is_copied && !record.is_draining && self.record == *record
+        is_settled && self.is_from_backup == is_from_backup && !record.is_draining && self.record == *record
     }
 
-    /// Returns the record as peers are told it at a moment.
+    /// Returns the record as sent to peers at a given time.
     pub(crate) fn record_at(&self, now: TimeMs) -> ServerRecord {
         ServerRecord {
             cold_left_ms: self.cold_until.map_or(0, |until| until.since_ms(now)),
@@ -66,8 +66,9 @@
         }
     }
 
-    /// Digests the server; sums of these do not depend on the order of the servers. A suspect differs from
-    /// a server that is not, so that a list with suspects is never taken for that of a peer without.
+    /// Returns the digest of the server. Digests are added up, so the sum does not depend on the order of the
+    /// servers. A suspect server has another digest than one that is not suspect, so a list with suspects never
+    /// equals a peer's list without them.
     fn digest(&self) -> u64 {
         let record = &self.record;
         let text = format!(
@@ -86,7 +87,7 @@
     }
 }
 
-/// The entries by the servers' ids.
+/// The entries by server id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerEntries {
     entries: HashMap<Arc<str>, Entry>,
@@ -94,7 +95,7 @@
     history: ListHistory,
     suspects: HashSet<Arc<str>>,
     cold: HashSet<Arc<str>>,
-    copied: HashSet<Arc<str>>,
+    from_backup: HashSet<Arc<str>>,
 }
 
 impl ServerEntries {
@@ -110,12 +111,13 @@
         self.entries.keys()
     }
 
-    /// Returns a digest of the list, the same wherever the list is the same.
+    /// Returns the digest of the list. Equal lists have equal digests on all instances.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns the servers that changed since the list had a digest; `None` if that is not known any more.
+    /// Returns the servers that changed since the list had the given digest; `None` if that digest is no longer
+    /// known.
     pub(crate) fn changed_since(&self, digest: u64) -> Option<HashSet<Arc<str>>> {
         if digest == self.digest {
             return Some(HashSet::new());
@@ -123,23 +125,23 @@
         self.history.since(digest)
     }
 
-    /// Returns the ids of the suspects.
+    /// Returns the ids of the suspect servers.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &Arc<str>> {
         self.suspects.iter()
     }
 
-    /// Returns the servers whose records the store's copy has.
-    pub(crate) fn copied(&self) -> impl Iterator<Item = &Entry> {
-        self.copied.iter().filter_map(|id| self.entries.get(id))
+    /// Returns the servers whose records come from a backup of the store.
+    pub(crate) fn from_backup(&self) -> impl Iterator<Item = &Entry> {
+        self.from_backup.iter().filter_map(|id| self.entries.get(id))
     }
 
-    /// Returns the suspects whose grace period is over.
-    pub(crate) fn lapsed_suspects(&self, now: TimeMs) -> Vec<Arc<str>> {
+    /// Returns the suspect servers whose grace period is over.
+    pub(crate) fn expired_suspects(&self, now: TimeMs) -> Vec<Arc<str>> {
         self.expired(&self.suspects, |entry| entry.suspect_until, now)
     }
 
-    /// Returns the cold servers whose time is over.
-    pub(crate) fn warmed(&self, now: TimeMs) -> Vec<Arc<str>> {
+    /// Returns the cold servers that are warm by now.
+    pub(crate) fn warmed_up(&self, now: TimeMs) -> Vec<Arc<str>> {
         self.expired(&self.cold, |entry| entry.cold_until, now)
     }
 
@@ -156,7 +158,7 @@
         ids.iter().filter(is_over).cloned().collect()
     }
 
-    /// Puts an entry in place of the one of the same id.
+    /// Inserts an entry, which replaces the entry of the same id.
     pub(crate) fn insert(&mut self, entry: Entry) {
         let known = self.entries.get_key_value(entry.record.id.as_str());
         let id = known.map_or_else(|| Arc::from(entry.record.id.as_str()), |(id, _)| Arc::clone(id));
@@ -164,22 +166,22 @@
         self.digest = self.digest.wrapping_add(entry.digest());
         set_member(&mut self.suspects, &id, entry.suspect_until.is_some());
         set_member(&mut self.cold, &id, entry.cold_until.is_some());
-        set_member(&mut self.copied, &id, entry.is_copied);
+        set_member(&mut self.from_backup, &id, entry.is_from_backup);
         if let Some(before) = self.entries.insert(Arc::clone(&id), entry) {
             self.digest = self.digest.wrapping_sub(before.digest());
         }
-        self.note(digest_before, &id);
+        self.record_change(digest_before, &id);
     }
 
-    /// Takes an entry out.
+    /// Removes an entry.
     pub(crate) fn remove(&mut self, id: &str) -> Option<Entry> {
         let (id, entry) = self.entries.remove_entry(id)?;
         let digest_before = self.digest;
         self.digest = self.digest.wrapping_sub(entry.digest());
-        for set in [&mut self.suspects, &mut self.cold, &mut self.copied] {
+        for set in [&mut self.suspects, &mut self.cold, &mut self.from_backup] {
             set.remove(&id);
         }
-        self.note(digest_before, &id);
+        self.record_change(digest_before, &id);
         Some(entry)
     }
 
@@ -191,7 +193,7 @@
         }
     }
 
-    fn note(&mut self, digest_before: u64, id: &Arc<str>) {
+    fn record_change(&mut self, digest_before: u64, id: &Arc<str>) {
         if digest_before != self.digest {
             self.history.record(digest_before, id, self.entries.len());
         }
--- a/crates/reedsail_dispatch/src/server_groups.rs
+++ b/crates/reedsail_dispatch/src/server_groups.rs
@@ -1,10 +1,11 @@
-//! Groups of a service's servers: a decision looks at one group, so that its cost does not grow with the fleet.
+//! Groups of a service's servers: a placement decision looks at one group, so that its cost does not grow with the
+//! fleet.
 //!
-//! **Rule.** A service has as many groups, a power of two, as keep them at [`GROUP_SERVERS_MAX`] servers or fewer on
-//! average. The name of a server says which group it is in, and a key (of a prompt segment, of an instance) with which
-//! group to begin; the others follow in order where that one has no server to use. The same list gives the same
-//! groups on every instance, and a server that comes or goes changes its own group alone, but for the sizes at which
-//! the groups are halved or joined.
+//! **Rule.** The number of groups of a service is the smallest power of two that keeps the average group at
+//! [`GROUP_SERVERS_MAX`] servers or fewer. A hash of the server's name selects its group. A hash of a key (of a
+//! prompt segment, of an instance) selects the group to search first; the other groups follow in order if that group
+//! has no usable server. Equal lists give equal groups on every instance. Adding or removing a server changes only
+//! its own group, except at the sizes where the number of groups doubles or halves.
 //!
 //! **Tested by** `tests/server_groups.rs`.
 
@@ -12,9 +13,10 @@
 use reedsail_core::ServerKey;
 use twox_hash::XxHash64;
 
-/// Servers of a group at most, on average over the groups.
+/// Maximum number of servers in a group, on average over the groups.
 const GROUP_SERVERS_MAX: usize = 256;
-/// Seed of the hash that divides servers and keys, which must differ from the hash that ranks servers in a group.
+/// Seed of the hash that assigns servers and keys to groups, which must differ from the hash that ranks servers in a
+/// group.
 const GROUP_SEED: u64 = 0x67;
 
 /// A server of a group.
@@ -27,7 +29,7 @@
 /// The listed servers of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerGroups {
-    /// Each in the order of the keys.
+    /// Each group is sorted by key.
     groups: Vec<Vec<GroupedServer>>,
     servers: usize,
 }
@@ -47,26 +49,26 @@
         self.servers
     }
 
-    /// Adds a server that is not there.
+    /// Adds a server that is not in a group yet.
     pub(crate) fn insert(&mut self, server: GroupedServer) {
         self.servers += 1;
         self.regroup();
         let group = self.group_of(server.name);
-        let place = group.partition_point(|other| *other < server);
-        group.insert(place, server);
+        let index = group.partition_point(|other| *other < server);
+        group.insert(index, server);
     }
 
-    /// Takes a server out, if it is there.
+    /// Removes a server if it is present.
     pub(crate) fn remove(&mut self, server: GroupedServer) {
         let group = self.group_of(server.name);
-        if let Ok(place) = group.binary_search(&server) {
-            group.remove(place);
+        if let Ok(index) = group.binary_search(&server) {
+            group.remove(index);
             self.servers -= 1;
             self.regroup();
         }
     }
 
-    /// Returns the groups, beginning with that of a key.
+    /// Returns the groups, starting with the group of a key.
     pub(crate) fn beginning_with(&self, key: u64) -> impl Iterator<Item = &[GroupedServer]> {
         let first = hash(key) & (self.groups.len() - 1);
         let (after, before) = (&self.groups[first..], &self.groups[..first]);
--- a/crates/reedsail_dispatch/src/server_health.rs
+++ b/crates/reedsail_dispatch/src/server_health.rs
@@ -1,16 +1,15 @@
-//! Server health: how much a backend server's recent answers count against it.
+//! Server health: how recent answers of a backend server affect placement.
 //!
-//! **Rule.** A server is judged by outcomes alone, never by its own word: each attempt that fails
-//! raises its failure rate, and placement adds a penalty that grows with the square of that rate. A
-//! server that could not be connected to is passed over for a while. An attempt that is overdue counts
-//! as failed before it ends.
+//! **Rule.** A server is judged by the outcomes of requests alone, never by what it reports about itself. Each failed
+//! attempt raises its failure rate, and placement adds a penalty that grows with the square of that rate. A server
+//! that could not be connected to is skipped for some time. An overdue attempt counts as failed before it ends.
 //!
-//! **Inputs.** Outcomes of attempts, times to the first event (milliseconds), peers' failure rates (0
-//! to 1) and their expiry.
+//! **Inputs.** Outcomes of attempts, times to the first event (milliseconds), peers' failure rates (0 to 1) and their
+//! expiry.
 //!
-//! **Why.** Backend servers may fail part of their requests while their health check is good, and may
-//! hang without an error. The square leaves a server with a few failures almost untouched and moves
-//! nearly all work off one that fails half of the time.
+//! **Why.** Backend servers may fail part of their requests while their health check passes, and may hang without an
+//! error. The square barely affects a server with a few failures, and moves nearly all work away from a server that
+//! fails half of its requests.
 //!
 //! **Tested by** `tests/placement.rs` and `tests/decision_trace.rs`.
 
@@ -19,36 +18,35 @@
 use crate::AttemptOutcome;
 use crate::failure_rate::FailureRate;
 
-/// Latency targets that a server with a failure rate of one is delayed by.
+/// Penalty of a server with a failure rate of one, in multiples of the latency target.
 const FAILURE_PENALTY_TARGETS: f64 = 6.0;
 /// Multiple of the expected time after which an attempt without a first event is overdue.
 const OVERDUE_FACTOR: u64 = 3;
-/// Least time after which an attempt is overdue, in milliseconds.
+/// Minimum time after which an attempt is overdue, in milliseconds.
 const OVERDUE_MIN_MS: u64 = 700;
-/// Weight of a rejection beside a failure of one: a full server is no broken one.
+/// Weight of a rejection, where a failure has one: a full server is not a broken server.
 const REJECTION_WEIGHT: f64 = 0.3;
-/// Weight of a failed connect beside a failure of one.
+/// Weight of a failed connect, where a failure has one.
 const UNREACHABLE_WEIGHT: f64 = 2.0;
-/// How long a server that could not be connected to is passed over, in milliseconds.
+/// How long a server that could not be connected to is skipped, in milliseconds.
 const UNREACHABLE_MS: u64 = 1_500;
-/// Weight of a peer's failure rate beside this instance's own.
+/// Weight of a peer's failure rate, where this instance's own rate has one.
 const PEER_FAILURE_WEIGHT: f64 = 0.7;
 /// Weight of the newest answer in the moving averages of latency.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// Range of the ratio of actual to expected time, so that one odd answer moves the average little.
+/// Range of the ratio of actual to expected time, so that one outlier has little effect on the average.
 const SLOWNESS_RANGE: (f64, f64) = (0.7, 4.0);
 
-/// What is known of one server's health and speed.
+/// The health and speed of one server.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerHealth {
     failures: FailureRate,
-    /// The highest failure rate that a peer reported, and until when it counts.
+    /// The highest failure rate reported by a peer, and its expiry time.
     peer_failures: (f64, TimeMs),
     unreachable_until: TimeMs,
-    /// Moving average of actual by expected time to the first event; 1 for as expected.
+    /// Moving average of the ratio of actual to expected time to the first event; 1 means as expected.
     slowness: f64,
-    /// Moving average of the time that a request without a prompt takes, in milliseconds; `None`
-    /// before the first answer.
+    /// Moving average of the time of a request without a prompt, in milliseconds; `None` before the first answer.
     plain_mean_ms: Option<f64>,
 }
 
@@ -79,12 +77,12 @@
         }
     }
 
-    /// Records that an attempt is overdue.
+    /// Records an overdue attempt.
     pub(crate) fn record_overdue(&mut self, now: TimeMs) {
         self.failures.record(1.0, now);
     }
 
-    /// Takes in a peer's failure rate; a lower one replaces a higher one only once that has expired.
+    /// Stores a peer's failure rate. A lower rate replaces a higher one only after the higher one has expired.
     pub(crate) fn receive_failures(&mut self, rate: f64, now: TimeMs, until: TimeMs) {
         let (known, known_until) = self.peer_failures;
         if now >= known_until || rate >= known {
@@ -92,14 +90,14 @@
         }
     }
 
-    /// Learns how slow the server is from a prompt's time to the first event.
+    /// Updates the server's slowness with a prompt's time to the first event.
     pub(crate) fn learn_slowness(&mut self, took_ms: f64, expected_ms: u64) {
         let ratio = took_ms / expected_ms as f64 * self.slowness;
         let ratio = ratio.clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
         self.slowness += NEWEST_WEIGHT * (ratio - self.slowness);
     }
 
-    /// Learns how long a request without a prompt takes.
+    /// Updates the mean time of requests without a prompt.
     pub(crate) fn learn_plain_time(&mut self, took_ms: f64) {
         self.plain_mean_ms = Some(match self.plain_mean_ms {
             Some(mean_ms) => mean_ms + NEWEST_WEIGHT * (took_ms - mean_ms),
@@ -107,18 +105,18 @@
         });
     }
 
-    /// Returns how often the server failed, from 0 to 1, by this instance's outcomes alone.
+    /// Returns the server's failure rate, from 0 to 1, by this instance's outcomes alone.
     pub(crate) fn own_failure_rate(&self, now: TimeMs) -> f64 {
         self.failures.rate_at(now)
     }
 
-    /// Returns the delay in milliseconds that placement adds for the server's failures.
+    /// Returns the delay that placement adds for the server's failures, in milliseconds.
     pub(crate) fn penalty_ms(&self, latency_target_ms: u64, now: TimeMs) -> f64 {
         let rate = self.failure_rate(now);
         FAILURE_PENALTY_TARGETS * latency_target_ms as f64 * rate * rate
     }
 
-    /// Tells whether the server may be connected to, as far as is known.
+    /// Returns whether no recent connect to the server failed.
     pub(crate) fn is_reachable(&self, now: TimeMs) -> bool {
         self.unreachable_until <= now
     }
@@ -128,7 +126,7 @@
         self.slowness
     }
 
-    /// Returns the mean time of a request without a prompt, in milliseconds, once one was answered.
+    /// Returns the mean time of a request without a prompt, in milliseconds; `None` before the first answer.
     pub(crate) fn plain_mean_ms(&self) -> Option<f64> {
         self.plain_mean_ms
     }
@@ -144,7 +142,7 @@
     }
 }
 
-/// Returns when an attempt without a first event is overdue.
+/// Returns the time from which an attempt without a first event is overdue.
 pub(crate) fn overdue_at(expected_ms: u64, now: TimeMs) -> TimeMs {
     now.plus_ms((OVERDUE_FACTOR * expected_ms).max(OVERDUE_MIN_MS))
 }
--- a/crates/reedsail_dispatch/src/server_life.rs
+++ b/crates/reedsail_dispatch/src/server_life.rs
@@ -1,16 +1,16 @@
-//! The life of a server: whether it may get new work, from all that is known of it.
+//! The life cycle of a server: whether it may get new work, given all that is known about it.
 //!
-//! **Rule.** A server that is not listed has departed and gets nothing; neither does one that drains, by its record
-//! or by an answer of its own, nor one whose failure domain is evacuated. What an answer said holds for the life of that
-//! incarnation, whatever a list says: a list may be older, or the store out. A cold one gets little (`slow_start`). A
-//! server is cold as long as its record says, and, since what is unknown counts as cold, for a while after nothing
-//! answered at its address and after its failure domain was taken back.
+//! **Rule.** A server gets no work if it is not listed, if it is draining according to its record or to a notice in
+//! one of its answers, or if its failure domain is evacuated. A draining notice holds for the life of the
+//! incarnation, whatever a list says: the list may be older, or the store unavailable. A cold server gets little work
+//! (`slow_start`). A server is cold for as long as its record says. Since an unknown state counts as cold, it is also
+//! cold for some time after nothing listened at its address and after the evacuation of its failure domain ended.
 //!
-//! **Inputs.** The server list (listed, draining, cold until), answers to this instance or a peer in which the server
-//! says that it drains, evacuations, connects that failed here or at a peer because nothing listens there.
+//! **Inputs.** The server list (listed, draining, cold until), draining notices of the server in answers to this
+//! instance or to a peer, evacuations, connects of this instance or a peer that failed because nothing listens there.
 //!
-//! **Why.** One place for all of it: what may be sent to a server follows from one state, in which the
-//! strictest of what is known counts.
+//! **Why.** Everything that limits the use of a server is combined in one place: what may be sent follows from one
+//! state, in which the strictest known condition counts.
 //!
 //! **Tested by** `tests/server_life.rs`, every state by every event.
 
@@ -19,42 +19,42 @@
 /// Whether a server may get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeState {
-    /// It is listed and bears as much as others.
+    /// The server is listed and handles as much load as others.
     Warm,
-    /// It has started lately, or may have, and bears little.
+    /// The server has started recently, or may have, and handles little load.
     Cold,
-    /// Its failure domain is evacuated.
+    /// The server's failure domain is evacuated.
     Evacuated,
-    /// It finishes what it runs.
+    /// The server finishes its running requests and gets no new ones.
     Draining,
-    /// It is not listed.
+    /// The server is not listed.
     Departed,
 }
 
-/// What is learned of a server.
+/// An event that changes the state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeEvent {
-    /// The list names it; replaces what the list said before.
+    /// The list names the server. Replaces what the list said before.
     Listed {
-        /// It drains.
+        /// Whether it is draining.
         is_draining: bool,
-        /// Until when it is cold by its own word.
+        /// Until when it is cold according to its record.
         cold_until: Option<TimeMs>,
     },
-    /// The list names it no more.
+    /// The list no longer names the server.
     Unlisted,
-    /// It said in an answer that it drains.
+    /// The server announced in an answer that it is draining.
     SaidDraining,
-    /// Its failure domain is evacuated.
+    /// The server's failure domain is evacuated.
     Evacuated,
-    /// Its failure domain was taken back; it may be cold until then.
+    /// The evacuation of the server's failure domain ended. The server may be cold until then.
     Returned {
-        /// The moment from which it is warm unless its record says otherwise.
+        /// The time from which it is warm unless its record says otherwise.
         cold_until: TimeMs,
     },
-    /// Nothing answered at its address; it may have started again and be cold until then.
+    /// Nothing listened at the server's address. It may have restarted and be cold until then.
     Down {
-        /// The moment from which it is warm unless its record says otherwise.
+        /// The time from which it is warm unless its record says otherwise.
         cold_until: TimeMs,
     },
 }
@@ -62,30 +62,30 @@
 /// What the server list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Listing {
-    /// It is not listed.
+    /// The server is not listed.
     #[default]
     Unlisted,
-    /// It takes work.
+    /// The server accepts work.
     Ready,
-    /// It drains.
+    /// The server is draining.
     Draining,
 }
 
-/// What is known of one server.
+/// The life-cycle state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerLife {
     listing: Listing,
-    /// It drains by an answer of its own, which no list takes back.
-    has_said_draining: bool,
+    /// Whether an answer of the server announced that it is draining. No list revokes this.
+    has_draining_notice: bool,
     is_evacuated: bool,
-    /// Until when it is cold by its own word.
+    /// Until when it is cold according to its record.
     cold_until: Option<TimeMs>,
-    /// Until when it may be cold though its record does not say so.
+    /// Until when it may be cold although its record does not say so.
     assumed_cold_until: Option<TimeMs>,
 }
 
 impl ServerLife {
-    /// Takes in what was learned.
+    /// Applies an event.
     pub fn apply(&mut self, event: LifeEvent) {
         match event {
             LifeEvent::Listed {
@@ -100,7 +100,7 @@
                 self.cold_until = cold_until;
             }
             LifeEvent::Unlisted => self.listing = Listing::Unlisted,
-            LifeEvent::SaidDraining => self.has_said_draining = true,
+            LifeEvent::SaidDraining => self.has_draining_notice = true,
             LifeEvent::Evacuated => self.is_evacuated = true,
             LifeEvent::Returned { cold_until } => {
                 self.is_evacuated = false;
@@ -114,7 +114,7 @@
         self.assumed_cold_until = self.assumed_cold_until.max(Some(until));
     }
 
-    /// Returns the state at a moment.
+    /// Returns the state at a given time.
     pub fn state(&self, now: TimeMs) -> LifeState {
         let is_cold = self.cold_until.max(self.assumed_cold_until) > Some(now);
         if !self.is_listed() {
@@ -130,22 +130,22 @@
         }
     }
 
-    /// Tells whether the list names the server.
+    /// Returns whether the list names the server.
     pub fn is_listed(&self) -> bool {
         self.listing != Listing::Unlisted
     }
 
-    /// Tells whether the server drains, by the list or by an answer.
+    /// Returns whether the server is draining, by the list or by a notice.
     pub fn drains(&self) -> bool {
-        self.listing == Listing::Draining || self.has_said_draining
+        self.listing == Listing::Draining || self.has_draining_notice
     }
 
-    /// Tells whether the server drains by an answer alone, while the list says that it takes work.
+    /// Returns whether the server is draining only by a notice, while the list says that it accepts work.
     pub fn drains_by_answer_alone(&self) -> bool {
-        self.has_said_draining && self.listing == Listing::Ready
+        self.has_draining_notice && self.listing == Listing::Ready
     }
 
-    /// Tells whether the server's failure domain is evacuated.
+    /// Returns whether the server's failure domain is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.is_evacuated
     }
--- a/crates/reedsail_dispatch/src/server_list.rs
+++ b/crates/reedsail_dispatch/src/server_list.rs
@@ -1,24 +1,25 @@
-//! Server list: which backend servers this instance believes in.
+//! Server list: the backend servers that this instance knows to exist.
 //!
-//! **Rule.** The list follows the store's records and its peers' lists, whichever is newer. A record
-//! that is dropped counts at once, unless it may have lapsed only because the store was out: then the
-//! server stays usable as a suspect for [`SUSPECT_GRACE_MS`]. A server that a peer with a newer list
-//! advertises as departed gets no new work before the list is fetched. A suspect of a peer is one here too,
-//! but for a server that this instance knows to have departed. A server that started again under its id is
-//! another one: the earlier incarnation has departed. A record that cannot be read ends its server.
+//! **Rule.** The list follows the store's records and its peers' lists, whichever is newer. A dropped record takes
+//! effect at once, unless it may have expired only because the store was unavailable: then the server stays usable as
+//! a suspect for [`SUSPECT_GRACE_MS`]. A server that a peer with a newer list advertises as departed gets no new
+//! work, even before the list is fetched. A suspect in a peer's list becomes a suspect here too, unless this instance
+//! knows that the server has departed. A restart under the same id is a new incarnation: the earlier one has
+//! departed. A record that cannot be read removes its server.
 //!
-//! A list of a newer era of the store (it has come back from an older copy of itself) is newer whatever its offset. It
-//! is no proof of a departure, as after an outage, and brings no server back whose record said that it departs, until
-//! that server writes its record again.
+//! A list of a newer era of the store (the store was restored from an older backup of itself) is newer whatever its
+//! offset. As after an outage, it does not prove a departure. If a server's record had announced a departure, the
+//! newer era does not bring the server back until the server writes its record again.
 //!
-//! **Inputs.** The store's records with their place in its log (the revision) and the time of asking;
-//! peers' revision, digest, age (milliseconds) and departures; failed reads.
+//! **Inputs.** The store's records with their position in its log (the revision) and the time of asking; peers'
+//! revision, digest, age (milliseconds) and departures; failed reads.
 //!
-//! **Why.** Records lapse while the store is out although the servers live, and those that live announce
-//! themselves again within about two seconds of its return. A server that has really left must get no
-//! request a few seconds later, also while the store is out.
+//! **Why.** Records expire while the store is unavailable although the servers are alive, and live servers announce
+//! themselves again within about two seconds of its return. A server that has really departed must get no requests a
+//! few seconds later, even while the store is unavailable.
 //!
-//! **Tested by** `tests/server_list.rs`, `tests/store_eras.rs`, `tests/store_era_fleets.rs`, `tests/decision_trace.rs`.
+//! **Tested by** `tests/server_list.rs`, `tests/store_eras.rs`, `tests/store_era_fleets.rs`,
+//! `tests/decision_trace.rs`.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -36,60 +37,61 @@
 use crate::ServerUpdate;
 use crate::UseChanges;
 use crate::departures::Departures;
-use crate::departures::Evidence;
+use crate::departures::DepartureEvidence;
 use crate::server_entries::Entry;
 use crate::server_entries::ServerEntries;
 
-/// How long a suspect stays usable, in milliseconds: a server that lives has announced itself again by then.
+/// How long a suspect stays usable, in milliseconds: a live server has announced itself again by then.
 const SUSPECT_GRACE_MS: u64 = 2_000;
-/// How long after the first read that follows an outage a dropped record may be due to the outage, in
-/// milliseconds: about as long as a server takes to announce itself again.
+/// How long after the first read that follows an outage a dropped record may be due to the outage, in milliseconds:
+/// about the time a server takes to announce itself again.
 const OUTAGE_GRACE_MS: u64 = 1_300;
-/// A peer whose list is at most this old tells that the outage is over, in milliseconds.
-const FRESH_MS: u64 = 1_000;
+/// A peer's list that is younger than this shows that the store outage is over, in milliseconds.
+const FRESH_AGE_MS: u64 = 1_000;
 
 /// The list of backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
     entries: ServerEntries,
     departures: Departures,
-    /// Servers that are used in another way than was last taken.
+    /// Servers whose use has changed since changes were last taken.
     changed: HashSet<String>,
-    /// Incarnations that are listed no more, since changes were last taken.
+    /// Incarnations that are no longer listed, since changes were last taken.
     gone: Vec<NameHash>,
-    /// When this list, at its revision, was known to be the newest.
+    /// When this list, at its revision, was known to be current.
     known_at: Option<TimeMs>,
     revision: StorePosition,
-    /// The store did not answer the last read.
-    is_store_out: bool,
-    /// Until when a dropped record may be due to an outage that is over.
+    /// Whether the last read of the store failed.
+    is_store_unavailable: bool,
+    /// Until when a dropped record may be due to a past outage.
     outage_grace_until: TimeMs,
 }
 
 impl ServerList {
-    /// Takes in an update from the store, which was asked for at `asked_at`.
-    pub fn apply(&mut self, news: ServerUpdate, asked_at: TimeMs, now: TimeMs) -> ListDelta {
-        if news.revision.era < self.revision.era {
+    /// Applies an update from the store, which was requested at `asked_at`.
+    pub fn apply(&mut self, update: ServerUpdate, asked_at: TimeMs, now: TimeMs) -> ListDelta {
+        if update.revision.era < self.revision.era {
             return ListDelta::default();
         }
-        let begins_era = self.begins_era(news.revision);
-        let is_copied = news.is_whole && begins_era;
+        let begins_era = self.begins_era(update.revision);
+        let is_from_backup = update.is_whole && begins_era;
         self.known_at = self.known_at.max(Some(asked_at));
-        self.revision = self.revision.max(news.revision);
-        // A copy of the store lacks what was written last, and is as little proof of a departure as an outage.
-        if std::mem::take(&mut self.is_store_out) || begins_era {
+        self.revision = self.revision.max(update.revision);
+        // A backup of the store lacks the latest writes. Like an outage, it does not prove a departure.
+        if std::mem::take(&mut self.is_store_unavailable) || begins_era {
             self.outage_grace_until = now.plus_ms(OUTAGE_GRACE_MS);
         }
         let mut delta = ListDelta::default();
-        if news.is_whole {
-            self.drop_missing(&news.changes, now, &mut delta);
+        if update.is_whole {
+            self.drop_missing(&update.changes, now, &mut delta);
         }
-        for change in news.changes {
+        for change in update.changes {
             match change {
-                ServerChange::Announced(record) => self.announce(record, is_copied, now, &mut delta),
+                ServerChange::Announced(record) => self.announce(record, is_from_backup, now, &mut delta),
                 ServerChange::Dropped { id } => self.drop_record(&id, now, &mut delta),
                 ServerChange::Unreadable { id, fault } => {
-                    // Whoever wrote it, it names no server any more, and the server writes its own again.
+                    // The unreadable record has replaced the server's own record, no matter who wrote it. The server
+                    // writes its record again.
                     self.remove(&id, now, &mut delta);
                     delta.unreadable.push((id, fault));
                 }
@@ -98,8 +100,8 @@
         delta
     }
 
-    /// Takes over a peer's list, or how it differs from this one, unless it is older. A difference from a list that
-    /// is not this one any more changes nothing: the next one is asked for.
+    /// Applies a peer's list, or its difference from this list, unless it is older. A difference from another list
+    /// than the current one changes nothing, and the next one is requested.
     pub fn apply_listing(&mut self, listing: ServerListing, now: TimeMs) -> ListDelta {
         let mut delta = ListDelta::default();
         let begins_era = self.begins_era(listing.revision);
@@ -110,10 +112,10 @@
         if listing.revision < self.revision || !is_usable {
             return delta;
         }
-        // The peer has already judged which records may have lapsed because of the outage.
-        self.is_store_out = false;
+        // The peer has already decided which records may have expired because of the outage.
+        self.is_store_unavailable = false;
         self.revision = listing.revision;
-        self.known_at = self.known_at.max(Some(moment_before(now, listing.age_ms)));
+        self.known_at = self.known_at.max(Some(time_before(now, listing.age_ms)));
         let gone = match listing.differs_from {
             None => self.missing_from(listing.records.iter().map(|record| record.id.as_str())),
             Some(_) => listing.removed.iter().map(|id| Arc::from(id.as_str())).collect(),
@@ -121,14 +123,14 @@
         let suspects: HashSet<String> = listing.suspects.into_iter().collect();
         for record in listing.records {
             if suspects.contains(&record.id) {
-                self.take_suspect(record, now, &mut delta);
+                self.merge_suspect(record, now, &mut delta);
             } else {
                 self.announce(record, begins_era, now, &mut delta);
             }
         }
         for id in gone {
             if begins_era {
-                // The peer may have started since, and know the store's copy alone.
+                // The peer may have started since and know only the backup.
                 self.suspect(&id, now);
             } else {
                 self.remove(&id, now, &mut delta);
@@ -137,14 +139,15 @@
         delta
     }
 
-    /// Tells whether a list at a place in the store's log is the first one of an era, to an instance that had a list.
+    /// Returns whether a list at this position in the store's log is the first one of a new era, for an instance that
+    /// already had a list.
     fn begins_era(&self, revision: StorePosition) -> bool {
         revision.era > self.revision.era && self.known_at.is_some()
     }
 
-    /// Takes over a server that a peer only suspects. One that this instance knows to have departed stays
-    /// departed: the peer was cut off while it left, and would bring it back into use everywhere.
-    fn take_suspect(&mut self, record: ServerRecord, now: TimeMs, delta: &mut ListDelta) {
+    /// Adds a server that is a suspect in a peer's list. A server that this instance knows to have departed stays
+    /// departed: the peer was partitioned while the server departed, and would bring it back into use everywhere.
+    fn merge_suspect(&mut self, record: ServerRecord, now: TimeMs, delta: &mut ListDelta) {
         let id = record.id.clone();
         let is_departed = self.departures.is_known(record.name());
         if self.entries.get(&id).is_none() {
@@ -156,7 +159,7 @@
         self.suspect(&id, now);
     }
 
-    /// Returns how the servers are used otherwise than when this was last asked.
+    /// Returns the changes in how servers are used since the last call.
     pub fn take_use_changes(&mut self, now: TimeMs) -> UseChanges {
         let changed = std::mem::take(&mut self.changed);
         UseChanges {
@@ -165,19 +168,19 @@
         }
     }
 
-    /// Compares a peer's list with this one. The same list, or one of the same revision, is as fresh as
-    /// the peer's; of one that is newer, the departures are believed before it is fetched.
+    /// Compares a peer's list with this one. If both lists or their revisions are equal, this list is as fresh as the
+    /// peer's. If the peer's list is newer, its departures apply before it is fetched.
     pub fn compare_with_peer(&mut self, peer: &PeerListState<'_>, now: TimeMs) -> ListComparison {
         if peer.revision.era < self.revision.era {
-            // Nothing of an era that is over says how fresh this list is, or who has left since.
+            // A past era does not show how fresh this list is, nor which servers have departed since.
             return ListComparison::NothingNew;
         }
         if peer.revision <= self.revision || peer.digest == self.digest() {
             let has_changed = peer.revision > self.revision && self.end_advertised_departures();
             self.revision = self.revision.max(peer.revision);
-            self.known_at = self.known_at.max(Some(moment_before(now, peer.age_ms)));
-            if peer.age_ms < FRESH_MS {
-                self.is_store_out = false;
+            self.known_at = self.known_at.max(Some(time_before(now, peer.age_ms)));
+            if peer.age_ms < FRESH_AGE_MS {
+                self.is_store_unavailable = false;
             }
             return if has_changed {
                 ListComparison::DeparturesChanged
@@ -189,12 +192,13 @@
         if unknown.is_empty() {
             return ListComparison::Newer;
         }
-        self.note_changed_use(&unknown);
+        self.mark_use_changed(&unknown);
         ListComparison::NewerWithDepartures
     }
 
-    /// Forgets advertised departures of servers that this list has as taking work, since a newer list is the same:
-    /// the servers have come back. A peer that fetched this list would take them for draining for good.
+    /// Removes advertised departures of servers that accept work according to this list, since a newer list is equal
+    /// to it: the servers have come back. Otherwise a peer that fetched this list would treat them as draining
+    /// forever.
     fn end_advertised_departures(&mut self) -> bool {
         if !self.departures.has_advertised() {
             return false;
@@ -205,88 +209,89 @@
                 ended.push(entry.name);
             }
         }
-        self.note_changed_use(&ended);
+        self.mark_use_changed(&ended);
         !ended.is_empty()
     }
 
-    /// Records that servers are used in another way, since what is known of their departures has changed.
-    fn note_changed_use(&mut self, names: &[NameHash]) {
+    /// Marks the use of servers as changed, after a change of their departures.
+    fn mark_use_changed(&mut self, names: &[NameHash]) {
         let entries = self.entries.values();
-        let concerned = entries.filter(|entry| names.contains(&entry.name));
+        let affected = entries.filter(|entry| names.contains(&entry.name));
         self.changed
-            .extend(concerned.map(|entry| entry.record.id.clone()));
+            .extend(affected.map(|entry| entry.record.id.clone()));
     }
 
-    /// Records that the store did not answer a read.
+    /// Records that a read of the store failed.
     pub fn record_store_failure(&mut self) {
-        self.is_store_out = true;
+        self.is_store_unavailable = true;
     }
 
-    /// Removes suspects whose grace period is over, and departures that no longer count.
+    /// Removes suspects whose grace period is over, and expired departures.
     pub fn tick(&mut self, now: TimeMs) -> ListDelta {
         let mut delta = ListDelta::default();
-        let ended = self.departures.tick(now);
-        // What the store says of servers whose departure no longer counts is to be published, or this instance goes
-        // without them for good: nothing else changes in its list.
-        if !ended.is_empty() {
-            self.note_changed_use(&ended);
+        let expired = self.departures.tick(now);
+        // Servers whose departure expired must be published again. Otherwise this instance would never use them
+        // again, since nothing else in its list changes.
+        if !expired.is_empty() {
+            self.mark_use_changed(&expired);
             let usable = self.entries.values().filter(|entry| {
-                !entry.record.is_draining && ended.contains(&entry.name) && !self.is_held(entry, now)
+                !entry.record.is_draining && expired.contains(&entry.name) && !self.is_held_back(entry, now)
             });
             delta.listed.extend(usable.map(|entry| entry.record.id.clone()));
         }
-        for id in self.entries.lapsed_suspects(now) {
+        for id in self.entries.expired_suspects(now) {
             self.remove(&id, now, &mut delta);
         }
-        self.end_cold(now);
+        self.mark_warm(now);
         delta
     }
 
-    /// Returns the ids of the servers that get nothing new although the store's copy says that they take work: their
-    /// records said that they depart. That is kept for as long as departures are advertised, by which time the store
-    /// has dropped a server that has departed.
+    /// Returns the ids of the servers that get no new work although the restored store lists them as accepting work:
+    /// their records had announced a departure. Such a departure is kept for as long as it is advertised. By then the
+    /// store has dropped a server that has departed.
     pub fn kept_departures(&self) -> Vec<String> {
-        let copied = self.entries.copied();
-        let kept = copied.filter(|entry| self.is_departure_kept(entry));
+        let from_backup = self.entries.from_backup();
+        let kept = from_backup.filter(|entry| self.is_departure_kept(entry));
         kept.map(|entry| entry.record.id.clone()).collect()
     }
 
     fn is_departure_kept(&self, entry: &Entry) -> bool {
-        entry.is_copied && !entry.record.is_draining && self.departures.is_recorded(entry.name)
+        entry.is_from_backup && !entry.record.is_draining && self.departures.is_recorded(entry.name)
     }
 
-    /// Marks servers as warm whose time is over: every instance does so at about the same moment, so that the
-    /// digests of equal lists stay equal. The decisions know the moment and need no news of it.
-    fn end_cold(&mut self, now: TimeMs) {
-        for id in self.entries.warmed(now) {
+    /// Marks servers as warm whose cold time is over. All instances do so at about the same time, so that the digests
+    /// of equal lists stay equal. Placement knows the time and needs no update.
+    fn mark_warm(&mut self, now: TimeMs) {
+        for id in self.entries.warmed_up(now) {
             self.entries.update(&id, |entry| entry.cold_until = None);
         }
     }
 
-    /// Returns the servers as this instance uses them: those whose departure a peer advertised, or is kept against the
-    /// store's copy, count as draining.
+    /// Returns the servers as this instance uses them. Servers count as draining if a peer advertised their
+    /// departure, or if their departure is kept against a backup of the store.
     pub fn records(&self, now: TimeMs) -> Vec<ServerRecord> {
-        self.entries.values().map(|entry| self.used(entry, now)).collect()
+        self.entries.values().map(|entry| self.record_in_use(entry, now)).collect()
     }
 
     /// Returns a server as this instance uses it; `None` if it is not listed.
     pub fn record(&self, id: &str, now: TimeMs) -> Option<ServerRecord> {
-        self.entries.get(id).map(|entry| self.used(entry, now))
+        self.entries.get(id).map(|entry| self.record_in_use(entry, now))
     }
 
-    fn used(&self, entry: &Entry, now: TimeMs) -> ServerRecord {
+    fn record_in_use(&self, entry: &Entry, now: TimeMs) -> ServerRecord {
         let mut record = entry.record_at(now);
-        record.is_draining |= self.is_held(entry, now);
+        record.is_draining |= self.is_held_back(entry, now);
         record
     }
 
-    /// Tells whether a server gets nothing new although its record says that it takes work.
-    fn is_held(&self, entry: &Entry, now: TimeMs) -> bool {
+    /// Returns whether a server gets no new work although its record says that it accepts work.
+    fn is_held_back(&self, entry: &Entry, now: TimeMs) -> bool {
         self.is_departure_kept(entry) || self.departures.is_advertised(entry.name, now)
     }
 
-    /// Returns all servers as the store has them, for peers, which hear of departures themselves. A peer could not tell
-    /// what is only advertised from what a record says, and would go without the server until its record changes.
+    /// Returns all servers as the store lists them, for peers. Departures are advertised to peers separately: a peer
+    /// could not distinguish an advertised departure from a record's, and would not use the server until its record
+    /// changes.
     pub fn listing(&self, now: TimeMs) -> ServerListing {
         ServerListing {
             revision: self.revision,
@@ -298,7 +303,7 @@
         }
     }
 
-    /// Returns how the list differs from the one that had a digest; `None` if that is not known any more.
+    /// Returns the difference from the list with the given digest; `None` if that digest is no longer known.
     pub fn difference(&self, digest: u64, now: TimeMs) -> Option<ServerListing> {
         let changed = self.entries.changed_since(digest)?;
         let (listed, removed): (Vec<_>, Vec<_>) =
@@ -321,83 +326,83 @@
         names.find(|name| NameHash::of(name) == failure_domain).cloned()
     }
 
-    /// Returns a digest of the list, the same on every instance that has the same list.
+    /// Returns the digest of the list. Equal lists have equal digests on all instances.
     pub fn digest(&self) -> u64 {
         self.entries.digest()
     }
 
-    /// Tells whether the list was ever read or fetched.
+    /// Returns whether the list was ever read or fetched.
     pub fn is_known(&self) -> bool {
         self.known_at.is_some()
     }
 
-    /// Returns the place in the store's log up to which the list is known.
+    /// Returns the position in the store's log up to which the list is known.
     pub fn revision(&self) -> StorePosition {
         self.revision
     }
 
     /// Returns the departures to advertise.
     pub fn departures(&self) -> Vec<NameHash> {
-        self.departures.names()
+        self.departures.to_advertise()
     }
 
-    /// Returns how long ago the list was known to be the newest, in milliseconds; very long if it was
-    /// never read.
+    /// Returns the time since the list was known to be current, in milliseconds; `u32::MAX` if it was never read.
     pub fn age_ms(&self, now: TimeMs) -> u64 {
         self.known_at
             .map_or(u64::from(u32::MAX), |known_at| now.since_ms(known_at))
     }
 
-    /// Takes in a record; one of the store's copy does not bring a server back whose record said that it departs.
-    fn announce(&mut self, record: ServerRecord, is_copied: bool, now: TimeMs, delta: &mut ListDelta) {
-        // Most records only say again what is known: a reader gets one of each server every few seconds.
+    /// Applies a record. A record from a backup of the store does not bring back a server whose record had announced
+    /// a departure.
+    fn announce(&mut self, record: ServerRecord, is_from_backup: bool, now: TimeMs, delta: &mut ListDelta) {
+        // Most records repeat what is known: a reader gets one from each server every few seconds.
         let known = self.entries.get(&record.id);
         if known.is_some_and(|known| {
-            known.is_reannounced_by(&record, is_copied) && !self.departures.concern(known.name)
+            known.is_reannounced_by(&record, is_from_backup) && !self.departures.has_any(known.name)
         }) {
             return;
         }
         let id = record.id.clone();
-        let entry = Entry::of(record, is_copied, now);
+        let entry = Entry::of(record, is_from_backup, now);
         let name = entry.name;
         let before = self.entries.get(&id);
-        let was_held = before.is_some_and(|entry| self.is_held(entry, now));
-        let same = before.filter(|entry| entry.name == name);
-        let was_draining = same.is_some_and(|entry| entry.record.is_draining);
-        let was_cold_until = same.and_then(|entry| entry.cold_until);
-        let earlier = before.map(|entry| entry.name);
+        let was_held_back = before.is_some_and(|entry| self.is_held_back(entry, now));
+        let known_incarnation = before.filter(|entry| entry.name == name);
+        let was_draining = known_incarnation.is_some_and(|entry| entry.record.is_draining);
+        let was_cold_until = known_incarnation.and_then(|entry| entry.cold_until);
+        let earlier_name = before.map(|entry| entry.name);
         let is_same = before.is_some_and(|before| before.is_used_like(&entry));
-        match earlier {
+        match earlier_name {
             None => delta.listed.push(id.clone()),
-            Some(earlier) if earlier != name => {
-                self.departures.record(earlier, Evidence::Recorded, now);
-                self.gone.push(earlier);
+            Some(earlier_name) if earlier_name != name => {
+                self.departures.record(earlier_name, DepartureEvidence::Recorded, now);
+                self.gone.push(earlier_name);
                 delta.restarted.push(id.clone());
             }
             Some(_) if was_cold_until != entry.cold_until => delta.cold.push(id.clone()),
             Some(_) => {}
         }
         if !entry.record.is_draining {
-            if is_copied {
+            if is_from_backup {
                 self.departures.forget_inferred(name);
             } else {
                 self.departures.forget(name);
             }
         } else if !was_draining {
-            self.departures.record(name, Evidence::Recorded, now);
+            self.departures.record(name, DepartureEvidence::Recorded, now);
             delta.draining.push(id.clone());
         }
-        if was_held && !self.is_held(&entry, now) && !delta.listed.contains(&id) {
+        if was_held_back && !self.is_held_back(&entry, now) && !delta.listed.contains(&id) {
             delta.listed.push(id.clone());
         }
-        if !is_same || was_held != self.is_held(&entry, now) {
+        if !is_same || was_held_back != self.is_held_back(&entry, now) {
             self.changed.insert(id);
         }
         self.entries.insert(entry);
     }
 
-    /// Takes a record out; one that may have lapsed only because the store did not take the server's
-    /// announcements makes the server a suspect.
+    /// Removes a record. If it may have expired only because the store did not accept announcements, the server
+    /// becomes a suspect.
     fn drop_record(&mut self, id: &str, now: TimeMs, delta: &mut ListDelta) {
         if now >= self.outage_grace_until {
             self.remove(id, now, delta);
@@ -434,8 +439,8 @@
     fn remove(&mut self, id: &str, now: TimeMs, delta: &mut ListDelta) {
         if let Some(entry) = self.entries.remove(id) {
             let evidence = match entry.suspect_until {
-                Some(_) => Evidence::Missing,
-                None => Evidence::Recorded,
+                Some(_) => DepartureEvidence::Missing,
+                None => DepartureEvidence::Recorded,
             };
             self.departures.record(entry.name, evidence, now);
             self.changed.remove(id);
@@ -445,6 +450,6 @@
     }
 }
 
-fn moment_before(now: TimeMs, age_ms: u64) -> TimeMs {
+fn time_before(now: TimeMs, age_ms: u64) -> TimeMs {
     TimeMs(now.0.saturating_sub(age_ms))
 }
--- a/crates/reedsail_dispatch/src/server_notice.rs
+++ b/crates/reedsail_dispatch/src/server_notice.rs
@@ -1,17 +1,17 @@
-//! What a backend server says of itself in an answer. The adapter of a platform decodes it.
+//! Notices that a backend server sends about itself in an answer. The adapter of a platform decodes them.
 
-/// What the head of an answer says of the server that sent it; the default says nothing.
+/// The notice in the head of an answer about the server that sent it. The default is an empty notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerNotice {
-    /// It drains: it finishes what it runs, and then departs.
+    /// Whether the server is draining: it finishes its running requests and then departs.
     pub is_draining: bool,
-    /// For how long it wants no request from this instance, in milliseconds from the answer; `None` if it does not
-    /// say so.
+    /// How long this instance must send no request to the server, in milliseconds from the answer; `None` if the
+    /// answer does not say.
     pub backoff_ms: Option<u64>,
 }
 
 impl ServerNotice {
-    /// Tells whether it says nothing.
+    /// Returns whether the notice is empty.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
--- a/crates/reedsail_dispatch/src/server_record.rs
+++ b/crates/reedsail_dispatch/src/server_record.rs
@@ -1,4 +1,4 @@
-//! Records of backend servers, as service discovery and peers give them.
+//! Records of backend servers, as received from service discovery and from peers.
 
 use std::net::SocketAddr;
 
@@ -11,38 +11,39 @@
 /// A backend server, as it announced itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Its id. A server may start again under the id that it had; see [`ServerRecord::name`].
+    /// Its id. A server may restart under the same id; see [`ServerRecord::name`].
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: String,
-    /// How many requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It has announced that it drains: it finishes what it runs and then departs. Peers fetch the field
-    /// under its old name.
+    /// Whether it has announced that it is draining: it finishes its running requests and then departs. Peers fetch
+    /// the field under its old name.
     #[serde(rename = "is_leaving")]
     pub is_draining: bool,
-    /// How long it is still cold, in milliseconds from the reading of the record: after a start a server bears
-    /// few requests. Zero for a warm one.
+    /// How long it remains cold, in milliseconds from reading the record: a server handles few requests after a
+    /// start. Zero for a warm server.
     #[serde(default)]
     pub cold_left_ms: u64,
-    /// When it started, in milliseconds of Unix time by its own clock; `None` where it does not say.
+    /// When it started, in milliseconds of Unix time by its own clock; `None` if the record does not say.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born_ms: Option<u64>,
 }
 
 impl ServerRecord {
-    /// Returns until when the server is cold, if the record is read now; `None` for a warm one.
+    /// Returns until when the server is cold, if the record was read at `now`; `None` for a warm server.
     pub fn cold_until(&self, now: TimeMs) -> Option<TimeMs> {
         (self.cold_left_ms > 0).then(|| now.plus_ms(self.cold_left_ms))
     }
 
-    /// Returns the name of this incarnation of the server, by which all that is believed of it is kept: load,
-    /// cached segments, failures, connections, departures. A server that started again has another name, so
-    /// nothing of the earlier incarnation is ever taken for its own, and no old report brings that one back.
+    /// Returns the name of this incarnation of the server. Everything known about the server is stored under this
+    /// name: load, cached segments, failures, connections, departures. A restarted server has a new name, so the
+    /// state of an earlier incarnation never applies to it, and an old report never brings the earlier incarnation
+    /// back.
     pub fn name(&self) -> NameHash {
         match self.born_ms {
             Some(born_ms) => NameHash::of(&format!("{}@{born_ms}", self.id)),
@@ -65,7 +66,7 @@
     Unreadable {
         /// The server's id.
         id: String,
-        /// What is wrong with it.
+        /// The error.
         fault: String,
     },
 }
@@ -73,49 +74,50 @@
 /// An update from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerUpdate {
-    /// The place in the store's log up to which the records are known now.
+    /// The position in the store's log up to which the records are known now.
     pub revision: StorePosition,
-    /// `changes` has every record that there is: a server without one is gone. Else it has those
-    /// since the last look.
+    /// Whether `changes` has all existing records, so that a server without a record is gone. Otherwise it has the
+    /// changes since the previous read.
     pub is_whole: bool,
-    /// The records, in their order.
+    /// The changes, in the order of the log.
     pub changes: Vec<ServerChange>,
 }
 
-/// An instance's list of backend servers, or how it differs from an earlier one, as peers fetch it.
+/// An instance's list of backend servers, or its difference from an earlier list, as peers fetch it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerListing {
-    /// The place in the store's log up to which it is known.
+    /// The position in the store's log up to which the list is known.
     #[serde(flatten)]
     pub revision: StorePosition,
-    /// How long ago it was known to be the newest, in milliseconds.
+    /// Time since the list was known to be current, in milliseconds.
     pub age_ms: u64,
     /// The servers.
     pub records: Vec<ServerRecord>,
-    /// The ids of those whose record is missing and may have lapsed only because the store was out. A page
-    /// of an instance that does not know the field has none.
+    /// The ids of the servers whose record is missing and may have expired only because the store was unavailable.
+    /// Empty if the sender does not know the field.
     #[serde(default)]
     pub suspects: Vec<String>,
-    /// The digest of the list that `records` and `removed` are the difference to; `None` if `records` is the whole list.
+    /// The digest of the list that `records` and `removed` are the difference from; `None` if `records` is the whole
+    /// list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub differs_from: Option<u64>,
-    /// The ids of the servers that are listed no more, in a difference.
+    /// The ids of the servers that are no longer listed, in a difference.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub removed: Vec<String>,
 }
 
-/// How an instance uses its servers otherwise than before.
+/// Changes in how an instance uses its servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UseChanges {
-    /// Servers that are new, or used in another way. Those whose departure a peer advertised, or is kept against the
-    /// store's copy, count as draining.
+    /// Servers that are new or whose use has changed. Servers count as draining if a peer advertised their departure,
+    /// or if their departure is kept against a backup of the store.
     pub used: Vec<ServerRecord>,
-    /// Incarnations of servers that are listed no more.
+    /// Incarnations of servers that are no longer listed.
     pub gone: Vec<NameHash>,
 }
 
 impl UseChanges {
-    /// Tells whether nothing has changed.
+    /// Returns whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.used.is_empty() && self.gone.is_empty()
     }
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -1,8 +1,8 @@
 //! Backend servers that this instance knows, with the load and the health of each.
 //!
-//! Owns the arena of servers behind `ServerKey`s, which stay valid for the life of the process. Relies
-//! on the server list for what is listed, and on load reports for the load of other instances. What may be
-//! sent to a server follows from its life (`server_life`) and, while it is cold, from `slow_start`.
+//! Owns the arena of servers behind `ServerKey`s, which stay valid for the life of the process. The server list
+//! supplies the listed servers, and load reports supply the load from other instances. Whether a request may be sent
+//! to a server follows from its life-cycle state (`server_life`) and, while it is cold, from `slow_start`.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -23,37 +23,36 @@
 use crate::server_groups::GroupedServer;
 use crate::server_groups::ServerGroups;
 use crate::server_health::ServerHealth;
-use crate::slow_start::ColdAllowance;
+use crate::slow_start::ColdRateLimit;
 use crate::slow_start::Senders;
 
-/// How a load report writes a failure rate of one, in a byte.
+/// Value of a failure rate of one in a load report, where the rate is one byte.
 pub(crate) const FAILURE_RATE_ONE: f64 = 255.0;
-/// A lower failure rate, in the unit above, is not reported for an idle server.
+/// Minimum failure rate that is reported for an idle server, in the unit above.
 const FAILURE_RATE_REPORTED_MIN: u8 = 8;
-/// How long it is reported to peers that nothing answers at a server's address, in milliseconds: some reports may
-/// be lost.
+/// How long peers are told that nothing listens at a server's address, in milliseconds: some reports may be lost.
 const DOWN_REPORTED_MS: u64 = 1_000;
 
-/// A backend server as the service discovery describes it.
+/// A backend server as described by service discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerSetup {
-    /// Its name; each start of a server has a new one (see `ServerRecord::name`).
+    /// Its name; each incarnation of a server has a new one (see `ServerRecord::name`).
     pub name: NameHash,
     /// The service that it belongs to.
     pub service: NameHash,
     /// Its failure domain.
     pub failure_domain: NameHash,
-    /// The region of that; `None` if it is not known.
+    /// The region of the failure domain; `None` if unknown.
     pub region: Option<NameHash>,
-    /// How many requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It is draining: it finishes what it runs and gets no new work.
+    /// Whether it is draining: it finishes its running requests and gets no new ones.
     pub is_draining: bool,
-    /// Until when it is cold by its own word; `None` for a warm one.
+    /// Until when it is cold according to its record; `None` for a warm server.
     pub cold_until: Option<TimeMs>,
 }
 
-/// Requests, and prompt tokens still to be prefilled, on a server.
+/// Requests, and prompt tokens that wait for prefill, on a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub(crate) running: u32,
@@ -64,14 +63,14 @@
 pub(crate) struct ServerState {
     pub(crate) setup: ServerSetup,
     pub(crate) life: ServerLife,
-    pub(crate) cold: ColdAllowance,
+    pub(crate) cold: ColdRateLimit,
     pub(crate) backoff: ServerBackoff,
-    /// When nothing answered at its address, as this instance last found.
+    /// When this instance last found that nothing listens at the server's address.
     down_at: Option<TimeMs>,
-    /// The same, as this instance or a peer last found.
+    /// When this instance or a peer last found so.
     pub(crate) found_down_at: Option<TimeMs>,
-    /// It said to this instance that it drains.
-    was_told_draining: bool,
+    /// Whether it announced in an answer to this instance that it is draining.
+    has_own_draining_notice: bool,
     pub(crate) own: Load,
     pub(crate) peers: Load,
     pub(crate) health: ServerHealth,
@@ -82,11 +81,11 @@
         Self {
             setup,
             life: ServerLife::default(),
-            cold: ColdAllowance::default(),
+            cold: ColdRateLimit::default(),
             backoff: ServerBackoff::default(),
             down_at: None,
             found_down_at: None,
-            was_told_draining: false,
+            has_own_draining_notice: false,
             own: Load::default(),
             peers: Load::default(),
             health: ServerHealth::default(),
@@ -108,7 +107,7 @@
         }
     }
 
-    /// Returns what this instance reports of it.
+    /// Returns this instance's report row for the server.
     fn row(&self, now: TimeMs) -> ServerLoadRow {
         ServerLoadRow {
             server: self.setup.name,
@@ -116,22 +115,23 @@
             failure_rate: (self.health.own_failure_rate(now) * FAILURE_RATE_ONE) as u8,
             prefill_tokens: self.own.prefill_tokens.min(u64::from(u32::MAX)) as u32,
             is_down: self.down_at.is_some_and(|at| now.since_ms(at) < DOWN_REPORTED_MS),
-            is_draining: self.was_told_draining && self.life.drains_by_answer_alone(),
+            is_draining: self.has_own_draining_notice && self.life.drains_by_answer_alone(),
             is_backed_off: self.backoff.is_active(now),
         }
     }
 
-    /// Tells whether this instance has nothing to report of it, and will not before it does something with it.
-    fn is_quiet(&self, now: TimeMs) -> bool {
+    /// Returns whether this instance has nothing to report about the server, and will not until its next action on
+    /// it.
+    fn has_nothing_to_report(&self, now: TimeMs) -> bool {
         let row = self.row(now);
-        let has_news = row.is_down || row.is_draining || row.is_backed_off;
-        row.running == 0 && row.failure_rate < FAILURE_RATE_REPORTED_MIN && !has_news
+        let has_flags = row.is_down || row.is_draining || row.is_backed_off;
+        row.running == 0 && row.failure_rate < FAILURE_RATE_REPORTED_MIN && !has_flags
     }
 
-    /// Records that a request is sent to it.
+    /// Records that a request is sent to the server.
     pub(crate) fn record_sent(&mut self, limit: SlowStartLimit, now: TimeMs) {
         if self.life.state(now) == LifeState::Cold {
-            self.cold.take(limit, now);
+            self.cold.record_sent(limit, now);
         }
     }
 }
@@ -142,21 +142,22 @@
     servers: Vec<ServerState>,
     by_name: HashMap<NameHash, ServerKey>,
     by_service: HashMap<NameHash, ServerGroups>,
-    /// The slots of each service's listed servers.
+    /// The total slots of each service's listed servers.
     slots: HashMap<NameHash, u64>,
-    /// Servers of which this instance may have something to report.
+    /// Servers that this instance may have something to report about.
     active: BTreeSet<ServerKey>,
-    /// Servers that peers told to drain, and that were not taken yet.
-    told_draining: Vec<ServerKey>,
+    /// Servers found to be draining through peers since the last call of `take_peer_reported_draining`.
+    peer_reported_draining: Vec<ServerKey>,
     limits: HashMap<NameHash, SlowStartLimit>,
     evacuated: Vec<NameHash>,
     senders: Senders,
-    /// Stands for a service without servers.
+    /// Returned for a service without servers.
     no_servers: ServerGroups,
 }
 
 impl ServerTable {
-    /// Replaces the list of servers; those that it no longer names get no new work. `true` if one is new.
+    /// Replaces the list of servers. Servers that are no longer listed get no new work. Returns whether a server is
+    /// new.
     pub(crate) fn configure(&mut self, setups: &[ServerSetup]) -> bool {
         let named: HashSet<NameHash> = setups.iter().map(|setup| setup.name).collect();
         let listed = self.servers.iter().filter(|server| server.life.is_listed());
@@ -167,25 +168,24 @@
         self.update(setups, &gone)
     }
 
-    /// Takes over servers that are new or have changed, and takes those that are gone off the list. `true` if one is
-    /// new.
+    /// Adds or updates servers and delists those that are gone. Returns whether a server is new.
     pub(crate) fn update(&mut self, setups: &[ServerSetup], gone: &[NameHash]) -> bool {
         for name in gone {
             if let Some(key) = self.key(*name) {
-                self.take_off(key);
+                self.remove_from_service(key);
                 self.servers[key.index()].life.apply(LifeEvent::Unlisted);
             }
         }
         let known = self.servers.len();
         for setup in setups {
-            self.take_over(setup);
+            self.apply_setup(setup);
         }
         self.servers.len() > known
     }
 
-    fn take_over(&mut self, setup: &ServerSetup) {
+    fn apply_setup(&mut self, setup: &ServerSetup) {
         let key = self.key_or_new(setup);
-        self.take_off(key);
+        self.remove_from_service(key);
         let is_evacuated = self.evacuated.contains(&setup.failure_domain);
         let server = &mut self.servers[key.index()];
         server.setup = *setup;
@@ -201,8 +201,8 @@
         *self.slots.entry(setup.service).or_default() += u64::from(setup.slots);
     }
 
-    /// Takes a server out of its service, if it is listed.
-    fn take_off(&mut self, key: ServerKey) {
+    /// Removes a server from its service if it is listed.
+    fn remove_from_service(&mut self, key: ServerKey) {
         let server = &self.servers[key.index()];
         if !server.life.is_listed() {
             return;
@@ -226,17 +226,17 @@
         key
     }
 
-    /// Replaces what the operators state of cold servers, by service.
+    /// Replaces the operators' limits for cold servers, by service.
     pub(crate) fn set_limits(&mut self, limits: HashMap<NameHash, SlowStartLimit>) {
         self.limits = limits;
     }
 
-    /// Returns what a service's cold servers bear.
+    /// Returns the limit for a service's cold servers.
     pub(crate) fn limit(&self, service: NameHash) -> SlowStartLimit {
         self.limits.get(&service).copied().unwrap_or_default()
     }
 
-    /// Replaces the failure domains that are evacuated. Servers of one that was taken back may be cold.
+    /// Replaces the evacuated failure domains. Servers may be cold after the evacuation of their domain ends.
     pub(crate) fn set_evacuated(&mut self, evacuated: &[NameHash], now: TimeMs) {
         self.evacuated = evacuated.to_vec();
         for server in &mut self.servers {
@@ -249,13 +249,13 @@
                     .get(&server.setup.service)
                     .copied()
                     .unwrap_or_default();
-                let cold_until = limit.returned_until(now);
+                let cold_until = limit.cold_until_after_evacuation(now);
                 server.life.apply(LifeEvent::Returned { cold_until });
             }
         }
     }
 
-    /// Replaces the fleet by which the senders of cold servers are chosen.
+    /// Replaces the fleet from which the senders for cold servers are chosen.
     pub(crate) fn set_senders(&mut self, senders: Senders) {
         self.senders = senders;
     }
@@ -265,23 +265,23 @@
         self.senders.own()
     }
 
-    /// Tells whether a request may be sent to a server now. Who the senders are is worked out for cold servers alone:
-    /// for all of them it would take the square of the fleet.
+    /// Returns whether a request may be sent to a server now. The senders are determined for cold servers only: doing
+    /// so for all servers would cost the square of the fleet size.
     pub(crate) fn takes_work(&self, server: &ServerState, now: TimeMs) -> bool {
         match server.life.state(now) {
             LifeState::Warm => server.backoff.allows(now),
             LifeState::Cold => {
                 let setup = &server.setup;
                 let is_sender = || self.senders.include_own(setup.name, setup.failure_domain);
-                let is_bound = self.limit(setup.service).binds();
-                server.backoff.allows(now) && (!is_bound || (server.cold.allows(now) && is_sender()))
+                let is_limited = self.limit(setup.service).is_limited();
+                server.backoff.allows(now) && (!is_limited || (server.cold.allows(now) && is_sender()))
             }
             LifeState::Evacuated | LifeState::Draining | LifeState::Departed => false,
         }
     }
 
-    /// Records that nothing answered at a server's address, here or, by its report, at a peer: it may have started
-    /// again, and be cold.
+    /// Records that this instance or a peer found nothing listening at a server's address. The server may have
+    /// restarted and be cold.
     pub(crate) fn record_down(&mut self, key: ServerKey, is_own: bool, now: TimeMs) {
         let limit = self.limit(self.get(key).setup.service);
         let server = self.get_mut(key);
@@ -289,29 +289,29 @@
             server.down_at = Some(now);
         }
         server.found_down_at = Some(now);
-        let cold_until = limit.down_until(now);
+        let cold_until = limit.cold_until_after_down(now);
         server.life.apply(LifeEvent::Down { cold_until });
     }
 
-    /// Records that a server said in an answer, to this instance or to a peer, that it drains; `true` if that was not
-    /// known.
+    /// Records that a server announced in an answer to this instance or a peer that it is draining. Returns whether
+    /// that was unknown.
     pub(crate) fn record_draining(&mut self, key: ServerKey, is_own: bool) -> bool {
         let server = self.get_mut(key);
         let is_known = server.life.drains();
-        server.was_told_draining |= is_own;
+        server.has_own_draining_notice |= is_own;
         server.life.apply(LifeEvent::SaidDraining);
         if !is_known && !is_own {
-            self.told_draining.push(key);
+            self.peer_reported_draining.push(key);
         }
         !is_known
     }
 
-    /// Returns the servers that were learned from peers to drain since the last call.
+    /// Returns the servers that were found to be draining through peers since the last call.
     pub(crate) fn take_draining_from_peers(&mut self) -> Vec<ServerKey> {
-        std::mem::take(&mut self.told_draining)
+        std::mem::take(&mut self.peer_reported_draining)
     }
 
-    /// Tells whether a request that was placed on a server may still be sent there.
+    /// Returns whether a request that was placed on a server may still be sent there.
     pub(crate) fn may_still_send_to(&self, key: ServerKey, now: TimeMs) -> bool {
         let server = self.get(key);
         match server.life.state(now) {
@@ -328,7 +328,7 @@
         &self.servers[key.index()]
     }
 
-    /// Returns a server that this instance does something with, and may have something to report of.
+    /// Returns a server for an action of this instance, after which there may be something to report.
     pub(crate) fn get_mut(&mut self, key: ServerKey) -> &mut ServerState {
         self.active.insert(key);
         &mut self.servers[key.index()]
@@ -339,13 +339,13 @@
         self.by_service.get(&service).unwrap_or(&self.no_servers)
     }
 
-    /// Returns the slots of these servers.
+    /// Returns the total slots of a service's listed servers.
     pub(crate) fn slots(&self, service: NameHash) -> u64 {
         self.slots.get(&service).copied().unwrap_or(0)
     }
 
-    /// Returns the moment from which a service's servers that asked for time, or are being returned to, may take a
-    /// request; `None` if there is no such server in these regions.
+    /// Returns the time from which one of a service's servers that are backed off, or are limited by the window after
+    /// a back-off, may get a request; `None` if there is no such server in these regions.
     pub(crate) fn returns_at(
         &self,
         service: NameHash,
@@ -361,13 +361,13 @@
         in_use.map(|server| server.backoff.until().max(now)).min()
     }
 
-    /// Returns how many servers asked this instance for time that is not over.
+    /// Returns the number of servers that asked this instance for back-off that has not ended.
     pub(crate) fn backed_off(&self, now: TimeMs) -> usize {
         let active = self.active().map(|key| self.get(key));
         active.filter(|server| server.backoff.is_active(now)).count()
     }
 
-    /// Returns the servers on which something of this instance may run.
+    /// Returns the servers that may run requests of this instance.
     pub(crate) fn active(&self) -> impl Iterator<Item = ServerKey> {
         self.active.iter().copied()
     }
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Adds or, with `add` false, takes away the load that a peer reported.
+    /// Adds the load that a peer reported or, with `add` false, subtracts it.
     pub(crate) fn add_peer(&mut self, rows: &[ServerLoadRow], add: bool) {
         for row in rows {
             let Some(key) = self.key(row.server) else { continue };
@@ -395,10 +395,10 @@
         }
     }
 
-    /// Returns this instance's load for its peers; idle, healthy servers are left out.
+    /// Returns this instance's load for its peers, without idle, healthy servers.
     pub(crate) fn report(&mut self, now: TimeMs) -> Vec<ServerLoadRow> {
         let servers = &self.servers;
-        self.active.retain(|key| !servers[key.index()].is_quiet(now));
+        self.active.retain(|key| !servers[key.index()].has_nothing_to_report(now));
         let active = self.active.iter().map(|key| &servers[key.index()]);
         let listed = active.filter(|server| server.life.is_listed());
         listed.map(|server| server.row(now)).collect()
--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -1,21 +1,19 @@
 //! Store reader: which instance of a failure domain reads the platform's store.
 //!
-//! **Rule.** The instance with the largest share of processor, and of those the smallest name hash, among
-//! those of its failure domain that sent a load message recently and are not stopping reads the store; the
-//! others learn from its load messages. In a fleet with aggregators, over which news crosses failure domains, one
-//! reader serves all of them that hear of it. Once the knowledge of a failure domain is older than
-//! [`SERVERS_STALE_MS`] or [`CONFIGURATION_STALE_MS`], its instances read the store as well, one after the
-//! other: each has a turn of [`TURN_MS`], later of [`LATE_TURN_MS`].
+//! **Rule.** The reader of a failure domain is the instance with the largest processor share, then the smallest name
+//! hash, among its instances that sent a load message recently and are not stopping. The others get the data from its
+//! load messages. In a fleet with aggregators, which pass updates between failure domains, one reader serves all
+//! failure domains that its updates reach. Once the data in a failure domain is older than [`SERVERS_STALE_MS`] or
+//! [`CONFIGURATION_STALE_MS`], its other instances also read the store, one after the other: each has a turn of
+//! [`TURN_MS`], later of [`LATE_TURN_MS`].
 //!
-//! **Inputs.** Peers with their failure domain, share of processor, silence (milliseconds) and whether they
-//! stop; the age of what is known (milliseconds); this instance's place in its failure domain; the gossip
-//! timing.
+//! **Inputs.** Peers with their failure domain, processor share, silence (milliseconds) and whether they are
+//! stopping; the age of the data (milliseconds); this instance's position in its failure domain; the gossip timing.
 //!
-//! **Why.** Every call of the store is charged and its rates are limited. No lease is needed: two
-//! readers cost calls and nothing else, and a reader that is cut off, frozen or turned away costs the
-//! others no more than these limits. While the store is away, or turns some instances away, a failure
-//! domain of any size asks it a few times a second instead of once for each instance, and the first one
-//! that is answered makes all others fresh.
+//! **Why.** Every call to the store is charged and its rates are limited. No lease is needed: two readers only cost
+//! additional calls, and a reader that is partitioned, frozen or rejected delays the others by no more than these
+//! limits. While the store is unavailable, or rejects some instances, a failure domain of any size calls it a few
+//! times a second instead of once for each instance, and the first successful read updates all others.
 //!
 //! **Tested by** `tests/store_reader.rs`, `reedsail_router`'s `tests/beliefs.rs`
 //! (`a_daemon_that_the_store_turns_away…`).
@@ -27,15 +25,15 @@
 
 /// Age of the server list from which an instance reads the store itself, in milliseconds, in a small fleet.
 const SERVERS_STALE_MS: u64 = 1_200;
-/// Age of the configuration from which an instance reads it itself, in milliseconds; it is read less often
-/// than the servers.
+/// Age of the configuration from which an instance reads it itself, in milliseconds; it is read less often than the
+/// servers.
 const CONFIGURATION_STALE_MS: u64 = 1_700;
-/// How long each instance's turn takes while knowledge is stale, in milliseconds: longer than the interval
-/// at which an instance checks whether it may read.
+/// Length of each instance's turn while the data is stale, in milliseconds: longer than the interval at which an
+/// instance checks whether it may read.
 const TURN_MS: u64 = 200;
-/// Turns after which the store is taken to be away for all, so that longer turns will do.
-const TURNS: u64 = 8;
-/// How long a turn takes from then on, in milliseconds.
+/// Number of turns after which the store counts as unavailable for all, so that longer turns suffice.
+const SHORT_TURNS: u64 = 8;
+/// Length of each turn from then on, in milliseconds.
 const LATE_TURN_MS: u64 = 500;
 
 /// What is read from the store.
@@ -56,7 +54,7 @@
         }
     }
 
-    /// Returns the age from which knowledge of the topic counts as stale, in milliseconds.
+    /// Returns the age from which data of the topic is stale, in milliseconds.
     fn stale_ms(self) -> u64 {
         match self {
             Self::Configuration => CONFIGURATION_STALE_MS,
@@ -72,16 +70,16 @@
     pub instance: NameHash,
     /// Its failure domain.
     pub failure_domain: NameHash,
-    /// The share of a core that it may use, in thousandths.
+    /// Its processor share, in thousandths of a core.
     pub processor_milli: u32,
-    /// How long ago its last message came, in milliseconds.
+    /// Time since its last message, in milliseconds.
     pub silent_ms: u64,
-    /// It is stopping.
+    /// Whether it is stopping.
     pub is_stopping: bool,
 }
 
-/// Tells whether an instance is the reader of its failure domain, or with `None` of the fleet, given its peers that
-/// are alive.
+/// Returns whether an instance is the reader of its failure domain, or of the fleet if `domain` is `None`, given its
+/// live peers.
 pub fn is_reader(
     own: DutyRank,
     domain: Option<NameHash>,
@@ -96,16 +94,16 @@
     })
 }
 
-/// Whether knowledge is too old to rely on the reader.
+/// Whether data is too old to rely on the reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Staleness {
-    /// It has been for so many milliseconds.
+    /// Stale for this many milliseconds.
     For(u64),
-    /// It will be after so many milliseconds, if nothing comes.
+    /// Stale after this many milliseconds without an update.
     After(u64),
 }
 
-/// Returns the staleness of knowledge of a topic, of the given age in milliseconds.
+/// Returns the staleness of data of a topic, given its age in milliseconds.
 pub fn stale_in(topic: StoreTopic, age_ms: u64, timing: GossipTiming) -> Staleness {
     let limit_ms = topic.stale_ms() + timing.update_delay_ms;
     if age_ms > limit_ms {
@@ -115,12 +113,12 @@
     }
 }
 
-/// Tells whether it is an instance's turn to read what has been stale for so long, given its place among
-/// the instances of its failure domain. The first turn is the second instance's: the first one is the
-/// reader, which could not.
+/// Returns whether it is an instance's turn to read data that has been stale for this long, given the instance's
+/// position in its failure domain. The second instance has the first turn: the first instance is the reader, which
+/// has failed to read.
 pub fn is_turn(position: usize, instances: usize, stale_for_ms: u64) -> bool {
-    let late_ms = stale_for_ms.saturating_sub(TURNS * TURN_MS);
-    let turn = (stale_for_ms / TURN_MS).min(TURNS) + late_ms / LATE_TURN_MS;
+    let late_for_ms = stale_for_ms.saturating_sub(SHORT_TURNS * TURN_MS);
+    let turn = (stale_for_ms / TURN_MS).min(SHORT_TURNS) + late_for_ms / LATE_TURN_MS;
     let instances = instances.max(1) as u64;
     (turn + 1) % instances == position as u64 % instances
 }
--- a/crates/reedsail_dispatch/tests/domain_reach.rs
+++ b/crates/reedsail_dispatch/tests/domain_reach.rs
@@ -1,4 +1,5 @@
-//! A failure domain that is cut off from the others, where an instance seldom sends to the same server twice.
+//! A network partition between failure domains in a service with so many servers that an instance seldom sends to the
+//! same server twice.
 
 use reedsail_core::NameHash;
 use reedsail_core::ServerKey;
@@ -16,11 +17,11 @@
 const SERVERS: u32 = 10_000;
 const DOMAINS: u32 = 5;
 const START_MS: u64 = 10_000;
-/// Time to connect at most, as the router has it.
+/// Connect timeout of the router, in milliseconds.
 const CONNECT_MS: u64 = 250;
-/// Time between two requests of an instance.
-const REQUEST_EVERY_MS: u64 = 600;
-const CUT_MS: u64 = 6_000;
+/// Time between two requests of an instance, in milliseconds.
+const REQUEST_INTERVAL_MS: u64 = 600;
+const PARTITION_MS: u64 = 6_000;
 
 fn server(number: u32) -> ServerSetup {
     ServerSetup {
@@ -55,7 +56,7 @@
     }
 }
 
-/// An instance of hall-0, which is cut off from the others or not.
+/// An instance of failure domain hall-0, which may be partitioned from the others.
 struct Instance {
     dispatcher: Dispatcher,
     domains: Vec<(ServerKey, u32)>,
@@ -81,8 +82,8 @@
         found.unwrap().1
     }
 
-    /// Sends a request until a server takes it; returns how many connects were not answered.
-    fn request(&mut self, segment: u64, is_cut: bool, began_ms: u64) -> u64 {
+    /// Sends a request until a server accepts it. Returns the number of unanswered connects.
+    fn request(&mut self, segment: u64, is_partitioned: bool, began_ms: u64) -> u64 {
         let prompt = prompt(segment);
         let mut tried = Vec::new();
         loop {
@@ -90,9 +91,9 @@
             let now = TimeMs(began_ms + unanswered * CONNECT_MS);
             let demand = demand(&prompt, &tried);
             let Decision::Send(placement) = self.dispatcher.decide(&demand, now) else {
-                panic!("there are servers enough");
+                panic!("no server accepts the request");
             };
-            let is_answered = !is_cut || self.domain(placement.server) == 0;
+            let is_answered = !is_partitioned || self.domain(placement.server) == 0;
             let mut attempt = self.dispatcher.begin_attempt(&demand, &placement, now);
             if is_answered {
                 let answered_at = now.plus_ms(placement.expected_ms);
@@ -109,36 +110,36 @@
     }
 }
 
-/// Returns the connects that were not answered by request, in a cut and after it.
-fn play(first_segment: u64) -> (Vec<u64>, Vec<u64>) {
+/// Returns the number of unanswered connects of each request, during a partition and after it.
+fn simulate_partition(first_segment: u64) -> (Vec<u64>, Vec<u64>) {
     let mut instance = Instance::new();
     let mut segment = first_segment;
-    let mut play = |is_cut, from_ms: u64, span_ms: u64| {
-        let requests = (0..span_ms / REQUEST_EVERY_MS).map(|number| {
+    let mut send_requests = |is_partitioned, from_ms: u64, span_ms: u64| {
+        let requests = (0..span_ms / REQUEST_INTERVAL_MS).map(|number| {
             segment += 1;
-            instance.request(segment, is_cut, from_ms + number * REQUEST_EVERY_MS)
+            instance.request(segment, is_partitioned, from_ms + number * REQUEST_INTERVAL_MS)
         });
         requests.collect::<Vec<u64>>()
     };
-    let before = play(false, START_MS, 3_000);
+    let before = send_requests(false, START_MS, 3_000);
     assert!(before.iter().all(|unanswered| *unanswered == 0));
-    let in_cut = play(true, START_MS + 3_000, CUT_MS);
-    let after = play(false, START_MS + 3_000 + CUT_MS, 6_000);
-    (in_cut, after)
+    let during_partition = send_requests(true, START_MS + 3_000, PARTITION_MS);
+    let after = send_requests(false, START_MS + 3_000 + PARTITION_MS, 6_000);
+    (during_partition, after)
 }
 
 #[test]
-fn a_cut_costs_a_request_one_connect_at_most_and_most_of_them_none() {
+fn a_partition_costs_a_request_one_unanswered_connect_at_most_and_most_requests_none() {
     let mut requests = 0;
     let mut unanswered = 0;
     for seed in 0..20 {
-        let (in_cut, after) = play(seed * 1_000);
-        assert!(in_cut.iter().all(|unanswered| *unanswered <= 1), "{in_cut:?}");
+        let (during_partition, after) = simulate_partition(seed * 1_000);
+        assert!(during_partition.iter().all(|unanswered| *unanswered <= 1), "{during_partition:?}");
         assert!(after.iter().all(|unanswered| *unanswered == 0), "{after:?}");
-        requests += in_cut.len();
-        unanswered += in_cut.iter().sum::<u64>() as usize;
+        requests += during_partition.len();
+        unanswered += during_partition.iter().sum::<u64>() as usize;
     }
-    // Four requests in five have their home beyond the cut.
+    // The preferred server of four requests in five is on the other side of the partition.
     assert!(unanswered * 2 <= requests, "{unanswered} of {requests}");
 }
 
@@ -152,20 +153,20 @@
     for request in 100..150 {
         assert_eq!(instance.request(request, false, later_ms + request), 0);
     }
-    let prompts_elsewhere = (200..300).filter(|segment| {
+    let prompts_in_other_domains = (200..300).filter(|segment| {
         let prompt = prompt(*segment);
         let demand = demand(&prompt, &[]);
         let now = TimeMs(later_ms + 1_000);
         let Decision::Send(placement) = instance.dispatcher.decide(&demand, now) else {
-            panic!("there are servers enough");
+            panic!("no server accepts the request");
         };
         instance.domain(placement.server) != 0
     });
-    assert!(prompts_elsewhere.count() > 60);
+    assert!(prompts_in_other_domains.count() > 60);
 }
 
 #[test]
-fn a_kept_connection_is_used_where_something_has_answered_lately() {
+fn a_kept_connection_is_used_where_a_server_has_answered_recently() {
     let mut instance = Instance::new();
     let now = |later_ms| TimeMs(START_MS + later_ms);
     let in_domain = |instance: &Instance, domain| {
@@ -175,7 +176,7 @@
     let (own, other) = (in_domain(&instance, 0), in_domain(&instance, 3));
     assert!(instance.dispatcher.may_reuse_connection(own, now(0)));
     assert!(!instance.dispatcher.may_reuse_connection(other, now(0)));
-    // Requests reach every failure domain, and answers come within a few hundred milliseconds.
+    // Requests reach every failure domain, and answers arrive within a few hundred milliseconds.
     for segment in 0..40 {
         instance.request(segment, false, START_MS);
     }
--- a/crates/reedsail_dispatch/tests/evacuations.rs
+++ b/crates/reedsail_dispatch/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! What is believed of evacuations, in whatever order it is heard.
+//! The evacuation state does not depend on the order in which records and peers' rows arrive.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -19,7 +19,7 @@
     }
 }
 
-fn whole(rows: Vec<EvacuationRow>, until: u64) -> EvacuationUpdate {
+fn full_read(rows: Vec<EvacuationRow>, until: u64) -> EvacuationUpdate {
     EvacuationUpdate {
         rows,
         whole_until: Some(StorePosition::new(0, until)),
@@ -27,34 +27,34 @@
 }
 
 #[test]
-fn older_news_neither_begin_nor_end_an_evacuation() {
-    let mut known = Evacuations::default();
-    assert!(known.merge(&[row("hall-a", 5, true)]));
-    assert!(!known.merge(&[row("hall-a", 4, false)]));
-    assert_eq!(known.active(), [NameHash::of("hall-a")]);
-    assert!(known.merge(&[row("hall-a", 9, false)]));
-    assert!(!known.merge(&[row("hall-a", 5, true)]));
-    assert!(known.active().is_empty());
-    // What has ended is told on, for those who heard of its beginning alone.
-    assert_eq!(known.rows(), [row("hall-a", 9, false)]);
+fn an_older_row_neither_begins_nor_ends_an_evacuation() {
+    let mut evacuations = Evacuations::default();
+    assert!(evacuations.merge(&[row("hall-a", 5, true)]));
+    assert!(!evacuations.merge(&[row("hall-a", 4, false)]));
+    assert_eq!(evacuations.active(), [NameHash::of("hall-a")]);
+    assert!(evacuations.merge(&[row("hall-a", 9, false)]));
+    assert!(!evacuations.merge(&[row("hall-a", 5, true)]));
+    assert!(evacuations.active().is_empty());
+    // Ended evacuations are still reported, for peers that only know that the evacuation began.
+    assert_eq!(evacuations.rows(), [row("hall-a", 9, false)]);
 }
 
 #[test]
-fn a_whole_read_ends_what_it_does_not_name_unless_it_is_older() {
-    let mut known = Evacuations::default();
-    known.merge(&[row("hall-a", 5, true), row("hall-b", 12, true)]);
-    assert!(known.apply(&whole(Vec::new(), 10)));
-    assert_eq!(known.active(), [NameHash::of("hall-b")]);
+fn a_full_read_ends_the_evacuations_that_it_does_not_name_unless_it_is_older() {
+    let mut evacuations = Evacuations::default();
+    evacuations.merge(&[row("hall-a", 5, true), row("hall-b", 12, true)]);
+    assert!(evacuations.apply(&full_read(Vec::new(), 10)));
+    assert_eq!(evacuations.active(), [NameHash::of("hall-b")]);
     assert!(
-        !known.merge(&[row("hall-a", 5, true)]),
-        "a peer that did not read yet"
+        !evacuations.merge(&[row("hall-a", 5, true)]),
+        "a peer that has not read the store yet"
     );
-    assert!(known.apply(&whole(vec![row("hall-a", 11, true), row("hall-b", 12, true)], 12)));
-    assert_eq!(known.active().len(), 2);
+    assert!(evacuations.apply(&full_read(vec![row("hall-a", 11, true), row("hall-b", 12, true)], 12)));
+    assert_eq!(evacuations.active().len(), 2);
 }
 
 #[test]
-fn any_order_of_the_same_news_leads_to_the_same_belief() {
+fn any_order_of_the_same_rows_leads_to_the_same_state() {
     let mut random = StdRng::seed_from_u64(3);
     let domains = ["hall-a", "hall-b", "hall-c"];
     for _ in 0..500 {
@@ -73,35 +73,35 @@
 }
 
 #[test]
-fn a_copy_of_each_of_two_eras_in_close_succession_is_withheld() {
+fn a_backup_row_of_each_of_two_successive_eras_is_withheld() {
     let of_era = |era, revision, is_active| EvacuationRow {
         revision: StorePosition::new(era, revision),
         ..row("hall-a", revision, is_active)
     };
-    for (before, copied) in [(false, true), (true, false)] {
-        let mut known = Evacuations::default();
-        known.merge(&[of_era(1, 9, before)]);
-        assert!(!known.merge(&[of_era(2, 5, copied)]), "may be a copy");
-        assert!(!known.tick(TimeMs(1_000)));
-        assert!(!known.merge(&[of_era(3, 4, copied)]), "may be a copy as well");
-        assert_eq!(known.active().len(), usize::from(before));
-        // The time runs from the first contradiction.
-        assert!(!known.tick(TimeMs(4_999)));
-        assert!(known.tick(TimeMs(5_000)));
-        assert_eq!(known.rows(), [of_era(3, 4, copied)]);
+    for (before, is_active_in_backup) in [(false, true), (true, false)] {
+        let mut evacuations = Evacuations::default();
+        evacuations.merge(&[of_era(1, 9, before)]);
+        assert!(!evacuations.merge(&[of_era(2, 5, is_active_in_backup)]), "may be from a backup");
+        assert!(!evacuations.tick(TimeMs(1_000)));
+        assert!(!evacuations.merge(&[of_era(3, 4, is_active_in_backup)]), "may be from a backup as well");
+        assert_eq!(evacuations.active().len(), usize::from(before));
+        // The time starts at the first contradiction.
+        assert!(!evacuations.tick(TimeMs(4_999)));
+        assert!(evacuations.tick(TimeMs(5_000)));
+        assert_eq!(evacuations.rows(), [of_era(3, 4, is_active_in_backup)]);
     }
 }
 
 #[test]
-fn what_is_written_in_the_newest_era_counts_at_once() {
+fn a_row_written_in_the_newest_era_takes_effect_at_once() {
     let of_era = |era, revision, is_active| EvacuationRow {
         revision: StorePosition::new(era, revision),
         ..row("hall-a", revision, is_active)
     };
-    let mut known = Evacuations::default();
-    known.merge(&[of_era(1, 9, false)]);
-    assert!(!known.merge(&[of_era(2, 5, true)]));
-    assert!(!known.merge(&[of_era(3, 4, true)]));
-    assert!(known.merge(&[of_era(3, 6, true)]), "written in that era");
-    assert_eq!(known.active().len(), 1);
+    let mut evacuations = Evacuations::default();
+    evacuations.merge(&[of_era(1, 9, false)]);
+    assert!(!evacuations.merge(&[of_era(2, 5, true)]));
+    assert!(!evacuations.merge(&[of_era(3, 4, true)]));
+    assert!(evacuations.merge(&[of_era(3, 6, true)]), "was written in that era");
+    assert_eq!(evacuations.active().len(), 1);
 }
--- a/crates/reedsail_dispatch/tests/herd.rs
+++ b/crates/reedsail_dispatch/tests/herd.rs
@@ -1,5 +1,5 @@
-//! Many instances that learn the same sums at the same moment, before a plain service with few servers: they
-//! must not all choose the server that was idle then.
+//! Many instances receive the same load sums at the same time, for a plain service with few servers. They must not
+//! all choose the server that was idle in those sums.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -22,8 +22,8 @@
 const SLOTS: usize = 6;
 /// Mean time of a request on an idle server, in milliseconds.
 const WORK_MS: f64 = 30.0;
-/// Interval at which all instances learn the sums, in milliseconds.
-const SUM_EVERY_MS: u64 = 50;
+/// Interval at which all instances receive the load sums, in milliseconds.
+const SUM_INTERVAL_MS: u64 = 50;
 const TARGET_MS: u64 = 150;
 const RUN_MS: u64 = 20_000;
 
@@ -34,7 +34,7 @@
     ends_at: u64,
 }
 
-/// One server: each slot's end of work.
+/// A server, with the time at which each slot becomes free.
 struct Server {
     slots: [u64; SLOTS],
 }
@@ -92,17 +92,17 @@
         refused: 0,
     };
     for now in 1..RUN_MS {
-        let (ended, going): (Vec<Running>, Vec<Running>) =
-            running.into_iter().partition(|one| one.ends_at <= now);
-        running = going;
-        for mut one in ended {
-            let dispatcher = &mut instances[one.instance];
-            dispatcher.record_first_event(&mut one.attempt, TimeMs(now));
-            dispatcher.finish_attempt(one.attempt, AttemptOutcome::Answered, TimeMs(now));
-            outcome.late += u64::from(now - one.arrived_at > TARGET_MS);
+        let (ended, still_running): (Vec<Running>, Vec<Running>) =
+            running.into_iter().partition(|request| request.ends_at <= now);
+        running = still_running;
+        for mut request in ended {
+            let dispatcher = &mut instances[request.instance];
+            dispatcher.record_first_event(&mut request.attempt, TimeMs(now));
+            dispatcher.finish_attempt(request.attempt, AttemptOutcome::Answered, TimeMs(now));
+            outcome.late += u64::from(now - request.arrived_at > TARGET_MS);
         }
-        if now % SUM_EVERY_MS == 0 {
-            exchange(&mut instances, &setups, TimeMs(now));
+        if now % SUM_INTERVAL_MS == 0 {
+            exchange_sums(&mut instances, &setups, TimeMs(now));
         }
         let mut arrivals = requests_per_s / 1_000.0;
         while arrivals > 0.0 {
@@ -128,7 +128,7 @@
     outcome
 }
 
-fn exchange(instances: &mut [Dispatcher], setups: &[ServerSetup], now: TimeMs) {
+fn exchange_sums(instances: &mut [Dispatcher], setups: &[ServerSetup], now: TimeMs) {
     let reports: Vec<LoadReport> = instances
         .iter_mut()
         .map(|instance| {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Sends one request; returns when its answer comes, or nothing if it was refused.
+/// Sends one request. Returns the attempt and the time of its answer; `None` if it was refused.
 fn send(
     dispatcher: &mut Dispatcher,
     servers: &mut [Server],
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn instances_that_know_the_same_do_not_choose_the_same() {
+fn instances_with_the_same_load_sums_do_not_choose_the_same_server() {
     for (requests_per_s, served_in_time_min) in [(330.0, 0.99), (560.0, 0.97)] {
         for seed in [1, 2, 3] {
             let outcome = run(requests_per_s, seed);
@@ -191,7 +191,7 @@
             let in_time = (outcome.sent - outcome.late) as f64 / all as f64;
             assert!(
                 in_time > served_in_time_min,
-                "{requests_per_s} a second, seed {seed}: {in_time} in time"
+                "{requests_per_s} requests a second, seed {seed}: {in_time} served in time"
             );
         }
     }
--- a/crates/reedsail_dispatch/tests/list_difference.rs
+++ b/crates/reedsail_dispatch/tests/list_difference.rs
@@ -1,4 +1,4 @@
-//! Lists that peers bring up to date by differences alone.
+//! Server lists that are kept up to date by differences only.
 
 use rand::Rng;
 use rand::SeedableRng;
@@ -48,7 +48,7 @@
     copy
 }
 
-fn any_change(random: &mut StdRng) -> ServerChange {
+fn random_change(random: &mut StdRng) -> ServerChange {
     let number = random.random_range(0..200);
     match random.random_range(0..3) {
         0 => ServerChange::Announced(record(number, false)),
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn one_change_is_told_by_one_record() {
+fn one_change_is_sent_as_one_record() {
     let mut list = whole_list(SERVERS);
     let mut peer = copy_of(&list);
     let change = ServerChange::Announced(record(77, true));
     list.apply(update(2, false, vec![change]), START, START);
     let difference = list.difference(peer.digest(), START).unwrap();
     assert_eq!((difference.records.len(), difference.removed.len()), (1, 0));
-    // A thousand peers fetch it.
+    // A thousand peers fetch the difference.
     let bytes = serde_json::to_vec(&difference).unwrap().len();
     assert!(bytes <= 300, "{bytes}");
     let delta = peer.apply_listing(difference, START);
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn a_peer_that_is_behind_comes_to_the_same_list_by_differences() {
+fn a_peer_that_is_behind_reaches_the_same_list_by_differences() {
     for seed in 0..200 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut list = whole_list(200);
         let mut peer = copy_of(&list);
         for offset in 2..60 {
-            let changes = (0..random.random_range(0..4)).map(|_| any_change(&mut random));
+            let changes = (0..random.random_range(0..4)).map(|_| random_change(&mut random));
             list.apply(update(offset, false, changes.collect()), START, START);
             if random.random_bool(0.3) {
                 let difference = list.difference(peer.digest(), START).unwrap();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn what_is_used_otherwise_is_told_once() {
+fn a_change_in_use_is_reported_once() {
     let mut list = whole_list(100);
     assert_eq!(list.take_use_changes(START).used.len(), 100);
     assert!(list.take_use_changes(START).is_empty());
--- a/crates/reedsail_dispatch/tests/load_pressure.rs
+++ b/crates/reedsail_dispatch/tests/load_pressure.rs
@@ -1,4 +1,4 @@
-//! How soon peers must hear of load, by what runs on the servers.
+//! How soon peers must learn of load, depending on the load of the servers.
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
@@ -23,7 +23,8 @@
     }
 }
 
-/// Returns the pressure where so many servers each run so many requests and have a prompt to prefill, or not.
+/// Returns the pressure when `busy` servers each run `running` requests and, if `is_prefilling`, have a prompt to
+/// prefill.
 fn pressure(busy: u32, running: u16, is_prefilling: bool) -> f64 {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), NameHash::of("hall-a"));
     let setups: Vec<ServerSetup> = (0..SERVERS).map(server).collect();
@@ -45,13 +46,13 @@
 #[test]
 fn an_idle_fleet_has_no_pressure() {
     assert!(pressure(0, 0, false) < f64::EPSILON);
-    // One slot in a hundred and sixty is taken.
+    // One slot in 160 is in use.
     let nearly_idle = pressure(100, 1, false);
     assert!((nearly_idle - 0.0625).abs() < 0.001, "{nearly_idle}");
 }
 
 #[test]
-fn pressure_grows_with_slots_and_with_prompts_that_wait() {
+fn pressure_grows_with_slots_in_use_and_with_waiting_prompts() {
     assert!(pressure(200, 1, false) > pressure(100, 1, false));
     assert!(pressure(100, 1, true) > pressure(100, 1, false));
     assert!((pressure(300, 1, true) - 1.0).abs() < f64::EPSILON);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn one_server_without_a_slot_left_is_pressure_enough() {
+fn one_server_without_a_free_slot_gives_full_pressure() {
     assert!(pressure(1, 15, false) < 0.1);
     assert!((pressure(1, 16, false) - 1.0).abs() < f64::EPSILON);
 }
--- a/crates/reedsail_dispatch/tests/server_ends.rs
+++ b/crates/reedsail_dispatch/tests/server_ends.rs
@@ -1,4 +1,4 @@
-//! Which broken connections are taken for the end of a server.
+//! Which broken connections count as the end of a server.
 
 use reedsail_core::Fingerprint;
 use reedsail_core::NameHash;
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns an instance at which one attempt has ended in this way.
-fn after(outcome: AttemptOutcome) -> Dispatcher {
+/// Returns an instance with one attempt that ended with this outcome.
+fn instance_after(outcome: AttemptOutcome) -> Dispatcher {
     let mut instance = Dispatcher::new(DispatchSettings::default(), NameHash::of("domain"));
     instance.set_servers(&[setup(false)]);
     end_attempt(&mut instance, outcome, BROKE_AT);
@@ -51,18 +51,18 @@
 
 fn end_attempt(instance: &mut Dispatcher, outcome: AttemptOutcome, now: TimeMs) {
     let Decision::Send(placement) = instance.decide(&demand(), now) else {
-        panic!("the request is not sent");
+        panic!("the request was not sent");
     };
     let mut attempt = instance.begin_attempt(&demand(), &placement, now);
     attempt.set_written(true);
     instance.finish_attempt(attempt, outcome, now);
 }
 
-/// Returns the requests of all ends that are found by a moment.
-fn ends(instance: &mut Dispatcher, now: TimeMs) -> Vec<Fingerprint> {
+/// Returns the requests of all server ends that are detected by `now`.
+fn ended_requests(instance: &mut Dispatcher, now: TimeMs) -> Vec<Fingerprint> {
     instance.tick(now);
-    let ends = instance.take_server_ends();
-    ends.iter()
+    let server_ends = instance.take_server_ends();
+    server_ends.iter()
         .flat_map(|end| end.requests.iter().map(|request| request.fingerprint))
         .collect()
 }
@@ -82,66 +82,66 @@
 }
 
 #[test]
-fn a_broken_connection_alone_is_no_end() {
-    let mut instance = after(AttemptOutcome::Broken);
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(50)), []);
+fn a_broken_connection_alone_is_no_server_end() {
+    let mut instance = instance_after(AttemptOutcome::Broken);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(50)), []);
 }
 
 #[test]
-fn a_server_whose_address_nobody_listens_at_has_ended_once() {
-    let mut instance = after(AttemptOutcome::Broken);
+fn a_server_that_no_longer_listens_has_ended_once() {
+    let mut instance = instance_after(AttemptOutcome::Broken);
     end_attempt(&mut instance, AttemptOutcome::Down, BROKE_AT.plus_ms(3));
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(50)), [REQUEST]);
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(100)), []);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(50)), [REQUEST]);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(100)), []);
 }
 
 #[test]
-fn a_connect_that_was_refused_just_before_the_break_was_read_counts() {
-    let mut instance = after(AttemptOutcome::Broken);
+fn a_connect_refused_just_before_the_break_was_read_shows_the_end() {
+    let mut instance = instance_after(AttemptOutcome::Broken);
     end_attempt(&mut instance, AttemptOutcome::Down, TimeMs(BROKE_AT.0 - 20));
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(50)), [REQUEST]);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(50)), [REQUEST]);
 }
 
 #[test]
-fn a_peer_finds_ends_as_well() {
-    let mut instance = after(AttemptOutcome::Broken);
+fn a_peers_report_shows_the_end_as_well() {
+    let mut instance = instance_after(AttemptOutcome::Broken);
     report_down(&mut instance, BROKE_AT.plus_ms(80));
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(100)), [REQUEST]);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(100)), [REQUEST]);
 }
 
 #[test]
 fn a_server_whose_record_is_gone_has_ended() {
-    let mut instance = after(AttemptOutcome::Broken);
+    let mut instance = instance_after(AttemptOutcome::Broken);
     instance.set_servers(&[]);
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(3_300)), [REQUEST]);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(3_300)), [REQUEST]);
 }
 
 #[test]
 fn a_server_that_drained_has_ended_as_planned() {
-    let mut instance = after(AttemptOutcome::Broken);
+    let mut instance = instance_after(AttemptOutcome::Broken);
     instance.set_servers(&[setup(true)]);
     instance.set_servers(&[]);
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(1_000)), []);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(1_000)), []);
 }
 
 #[test]
-fn an_end_long_after_the_break_says_nothing_of_the_request() {
-    let mut instance = after(AttemptOutcome::Broken);
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(5_000)), []);
+fn an_end_long_after_the_break_is_not_attributed_to_the_request() {
+    let mut instance = instance_after(AttemptOutcome::Broken);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(5_000)), []);
     report_down(&mut instance, BROKE_AT.plus_ms(5_050));
-    assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(5_100)), []);
+    assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(5_100)), []);
 }
 
 #[test]
-fn other_outcomes_say_nothing_of_an_end() {
+fn requests_with_other_outcomes_are_not_attributed_to_an_end() {
     for outcome in [
         AttemptOutcome::Answered,
         AttemptOutcome::Failed,
         AttemptOutcome::Rejected,
         AttemptOutcome::Abandoned,
     ] {
-        let mut instance = after(outcome);
+        let mut instance = instance_after(outcome);
         report_down(&mut instance, BROKE_AT.plus_ms(10));
-        assert_eq!(ends(&mut instance, BROKE_AT.plus_ms(50)), [], "{outcome:?}");
+        assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(50)), [], "{outcome:?}");
     }
 }
--- a/crates/reedsail_dispatch/tests/server_groups.rs
+++ b/crates/reedsail_dispatch/tests/server_groups.rs
@@ -1,4 +1,4 @@
-//! What a decision costs and where prompts go as a service grows from a hundred servers to ten thousand.
+//! The cost of a decision, and the servers chosen for prompts, as a service grows from 100 servers to 10,000.
 
 use std::collections::HashMap;
 
@@ -62,7 +62,7 @@
     }
 }
 
-fn home(dispatcher: &mut Dispatcher, segment: u64, tried: &[ServerKey]) -> Option<ServerKey> {
+fn preferred_server(dispatcher: &mut Dispatcher, segment: u64, tried: &[ServerKey]) -> Option<ServerKey> {
     let prompt = prompt(segment);
     match dispatcher.decide(&demand(Some(&prompt), tried), NOW) {
         Decision::Send(placement) => Some(placement.server),
@@ -70,9 +70,9 @@
     }
 }
 
-fn homes(dispatcher: &mut Dispatcher) -> Vec<ServerKey> {
+fn preferred_servers(dispatcher: &mut Dispatcher) -> Vec<ServerKey> {
     (0..SEGMENTS)
-        .map(|segment| home(dispatcher, segment, &[]).unwrap())
+        .map(|segment| preferred_server(dispatcher, segment, &[]).unwrap())
         .collect()
 }
 
@@ -110,19 +110,19 @@
 fn segments_are_spread_over_all_servers() {
     let mut dispatcher = dispatcher(&servers(1_000));
     let mut segments_of: HashMap<ServerKey, u32> = HashMap::new();
-    for home in homes(&mut dispatcher) {
-        *segments_of.entry(home).or_default() += 1;
+    for server in preferred_servers(&mut dispatcher) {
+        *segments_of.entry(server).or_default() += 1;
     }
-    // Four segments a server on average; by chance alone the fullest of a thousand has some thirteen.
+    // Four segments per server on average. By chance alone the fullest of a thousand servers has about thirteen.
     assert!(segments_of.len() > 950, "{}", segments_of.len());
     assert!(segments_of.values().all(|segments| *segments <= 20));
 }
 
 #[test]
-fn a_server_that_goes_moves_its_own_segments_alone() {
+fn removing_a_server_moves_only_its_own_segments() {
     let all = servers(SERVERS);
     let mut dispatcher = dispatcher(&all);
-    let before = homes(&mut dispatcher);
+    let before = preferred_servers(&mut dispatcher);
     let gone = &all[..100];
     let names: Vec<NameHash> = gone.iter().map(|setup| setup.name).collect();
     let gone_keys: Vec<ServerKey> = names
@@ -130,17 +130,17 @@
         .map(|name| dispatcher.server_key(*name).unwrap())
         .collect();
     dispatcher.update_servers(&[], &names);
-    let after = homes(&mut dispatcher);
+    let after = preferred_servers(&mut dispatcher);
     for (before, after) in before.iter().zip(&after) {
         assert!(before == after || gone_keys.contains(before));
         assert!(!gone_keys.contains(after));
     }
     dispatcher.update_servers(gone, &[]);
-    assert_eq!(homes(&mut dispatcher), before);
+    assert_eq!(preferred_servers(&mut dispatcher), before);
 }
 
 #[test]
-fn instances_with_the_same_list_agree_however_they_came_to_it() {
+fn instances_with_the_same_list_agree_whatever_updates_led_to_it() {
     let all = servers(3_000);
     let mut whole = dispatcher(&all);
     let mut grown = dispatcher(&all[..10]);
@@ -152,7 +152,7 @@
     shrunk.update_servers(&[], &names);
     for segment in 0..SEGMENTS {
         let name = |dispatcher: &mut Dispatcher| {
-            let key = home(dispatcher, segment, &[]).unwrap();
+            let key = preferred_server(dispatcher, segment, &[]).unwrap();
             let number = all
                 .iter()
                 .position(|setup| dispatcher.server_key(setup.name) == Some(key));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn where_a_group_has_no_server_to_use_another_one_has() {
+fn a_request_goes_to_another_group_if_its_group_has_no_usable_server() {
     let mut all = servers(1_000);
     for setup in &mut all[..999] {
         setup.is_draining = true;
@@ -173,11 +173,11 @@
     let mut dispatcher = dispatcher(&all);
     let only = dispatcher.server_key(all[999].name).unwrap();
     for segment in 0..50 {
-        assert_eq!(home(&mut dispatcher, segment, &[]), Some(only));
-        assert_eq!(home(&mut dispatcher, segment, &[only]), None);
+        assert_eq!(preferred_server(&mut dispatcher, segment, &[]), Some(only));
+        assert_eq!(preferred_server(&mut dispatcher, segment, &[only]), None);
     }
     let Decision::Send(placement) = dispatcher.decide(&demand(None, &[]), NOW) else {
-        panic!("the only server takes it");
+        panic!("the only usable server was not chosen");
     };
     assert_eq!(placement.server, only);
 }
--- a/crates/reedsail_dispatch/tests/server_life.rs
+++ b/crates/reedsail_dispatch/tests/server_life.rs
@@ -1,4 +1,4 @@
-//! Every state of a server by every event, in all sequences of some length.
+//! The state of a server after every sequence of events up to a fixed length.
 
 use reedsail_core::TimeMs;
 use reedsail_dispatch::LifeEvent;
@@ -7,8 +7,8 @@
 
 const NOW: TimeMs = TimeMs(10_000);
 const COLD_UNTIL: TimeMs = TimeMs(13_000);
-/// Events of a sequence.
-const LENGTH: u32 = 5;
+/// Number of events in a sequence.
+const SEQUENCE_LENGTH: u32 = 5;
 
 fn listed(is_draining: bool, cold_until: Option<TimeMs>) -> LifeEvent {
     LifeEvent::Listed {
@@ -31,27 +31,27 @@
     ]
 }
 
-fn last(sequence: &[LifeEvent], is_meant: impl Fn(&LifeEvent) -> bool) -> Option<LifeEvent> {
-    sequence.iter().rev().find(|event| is_meant(event)).copied()
+fn last_event(sequence: &[LifeEvent], is_wanted: impl Fn(&LifeEvent) -> bool) -> Option<LifeEvent> {
+    sequence.iter().rev().find(|event| is_wanted(event)).copied()
 }
 
-/// Returns the state as the rule has it, from the last events of each sort.
+/// Returns the state that the rule requires, given the last event of each kind.
 fn expected(sequence: &[LifeEvent], now: TimeMs) -> LifeState {
-    let of_list = |event: &LifeEvent| matches!(event, LifeEvent::Listed { .. } | LifeEvent::Unlisted);
-    let of_operator = |event: &LifeEvent| matches!(event, LifeEvent::Evacuated | LifeEvent::Returned { .. });
+    let is_list_event = |event: &LifeEvent| matches!(event, LifeEvent::Listed { .. } | LifeEvent::Unlisted);
+    let is_operator_event = |event: &LifeEvent| matches!(event, LifeEvent::Evacuated | LifeEvent::Returned { .. });
     let Some(LifeEvent::Listed {
         is_draining,
         cold_until,
-    }) = last(sequence, of_list)
+    }) = last_event(sequence, is_list_event)
     else {
         return LifeState::Departed;
     };
-    let was_told = |event: &LifeEvent| matches!(event, LifeEvent::Returned { .. } | LifeEvent::Down { .. });
-    let may_be_cold = last(sequence, was_told).is_some() && now < COLD_UNTIL;
-    let said_draining = sequence.contains(&LifeEvent::SaidDraining);
-    if is_draining || said_draining {
+    let is_assumed_cold_event = |event: &LifeEvent| matches!(event, LifeEvent::Returned { .. } | LifeEvent::Down { .. });
+    let may_be_cold = last_event(sequence, is_assumed_cold_event).is_some() && now < COLD_UNTIL;
+    let has_draining_notice = sequence.contains(&LifeEvent::SaidDraining);
+    if is_draining || has_draining_notice {
         LifeState::Draining
-    } else if last(sequence, of_operator) == Some(LifeEvent::Evacuated) {
+    } else if last_event(sequence, is_operator_event) == Some(LifeEvent::Evacuated) {
         LifeState::Evacuated
     } else if may_be_cold || cold_until.is_some_and(|until| now < until) {
         LifeState::Cold
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn every_sequence_of_events_leads_to_the_state_of_the_rule() {
+fn every_sequence_of_events_leads_to_the_state_that_the_rule_requires() {
     let events = events();
-    let count = events.len().pow(LENGTH);
+    let count = events.len().pow(SEQUENCE_LENGTH);
     for number in 0..count {
-        let sequence: Vec<LifeEvent> = (0..LENGTH)
-            .map(|place| events[number / events.len().pow(place) % events.len()])
+        let sequence: Vec<LifeEvent> = (0..SEQUENCE_LENGTH)
+            .map(|position| events[number / events.len().pow(position) % events.len()])
             .collect();
         let mut life = ServerLife::default();
         for (index, event) in sequence.iter().enumerate() {
--- a/crates/reedsail_dispatch/tests/slow_start.rs
+++ b/crates/reedsail_dispatch/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a whole fleet sends to cold servers, whose instances decide alone.
+//! What a whole fleet sends to cold servers when each instance decides by itself.
 
 use std::collections::HashMap;
 
@@ -21,7 +21,7 @@
     cold_ms: 3_000,
     requests_per_s: 6.1,
 };
-/// What a cold server may get in any second: half as much again as it bears, and five requests.
+/// Maximum number of requests that a cold server may get in any second: 1.5 times the rate it handles, plus five.
 const ARRIVALS_MAX: usize = 14;
 const INSTANCES: usize = 64;
 const SERVERS: u32 = 48;
@@ -95,7 +95,7 @@
     decision
 }
 
-/// Has every instance decide about a request each 10 ms; returns when each server got one, in milliseconds.
+/// Makes every instance decide on one request each 10 ms. Returns the arrival times at each server, in milliseconds.
 fn arrivals(fleet: &mut [Dispatcher], from: u64, until: u64) -> HashMap<usize, Vec<u64>> {
     let mut arrivals: HashMap<usize, Vec<u64>> = HashMap::new();
     let mut number = 0;
@@ -111,30 +111,30 @@
     arrivals
 }
 
-fn most_in_a_second(moments: &[u64]) -> usize {
+fn max_arrivals_in_a_second(arrival_times: &[u64]) -> usize {
     let within = |from: &u64| {
-        moments
+        arrival_times
             .iter()
             .filter(|at| (*from..*from + 1_000).contains(at))
             .count()
     };
-    moments.iter().map(within).max().unwrap_or(0)
+    arrival_times.iter().map(within).max().unwrap_or(0)
 }
 
 #[test]
-fn cold_servers_get_no_more_than_they_bear_from_a_whole_fleet() {
+fn cold_servers_get_no_more_than_they_handle_from_a_whole_fleet() {
     let servers: Vec<ServerSetup> = (0..SERVERS)
         .map(|number| server(number, (number % 3 == 0).then_some(TimeMs(13_000))))
         .collect();
     let arrivals = arrivals(&mut fleet(&servers), 10_000, 13_000);
-    for (server, moments) in &arrivals {
-        let most = most_in_a_second(moments);
-        assert!(server % 3 > 0 || most <= ARRIVALS_MAX, "{server}: {most}");
+    for (server, arrival_times) in &arrivals {
+        let max_arrivals = max_arrivals_in_a_second(arrival_times);
+        assert!(server % 3 > 0 || max_arrivals <= ARRIVALS_MAX, "{server}: {max_arrivals}");
     }
 }
 
 #[test]
-fn where_all_servers_are_cold_what_they_bear_is_served_and_the_rest_refused_at_once() {
+fn cold_servers_serve_what_they_handle_and_the_rest_is_refused_at_once() {
     let servers: Vec<ServerSetup> = (0..SERVERS)
         .map(|number| server(number, Some(TimeMs(13_000))))
         .collect();
@@ -144,9 +144,9 @@
     assert!(
         arrivals
             .values()
-            .all(|moments| most_in_a_second(moments) <= ARRIVALS_MAX)
+            .all(|arrival_times| max_arrivals_in_a_second(arrival_times) <= ARRIVALS_MAX)
     );
-    // Senders use three quarters of what is stated.
+    // Senders use three quarters of the configured rate.
     let sent = 0.75 * 3.0 * LIMIT.requests_per_s * f64::from(SERVERS);
     assert!(total as f64 > 0.8 * sent, "{total} of {sent}");
     let refused = (0..200).map(|number| decide(&mut fleet[0], &prompt(number), TimeMs(12_990)));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn halves_of_a_fleet_that_forgot_each_other_stay_within_the_bound() {
+fn halves_of_a_partitioned_fleet_stay_within_the_limit() {
     let servers: Vec<ServerSetup> = (0..SERVERS)
         .map(|number| server(number, Some(TimeMs(13_000))))
         .collect();
@@ -168,8 +168,8 @@
     let mut fleet: Vec<Dispatcher> = (0..INSTANCES)
         .map(|number| instance(number, &servers, &halves[number / (INSTANCES / 2)]))
         .collect();
-    for moments in arrivals(&mut fleet, 10_000, 13_000).values() {
-        assert!(most_in_a_second(moments) <= ARRIVALS_MAX);
+    for arrival_times in arrivals(&mut fleet, 10_000, 13_000).values() {
+        assert!(max_arrivals_in_a_second(arrival_times) <= ARRIVALS_MAX);
     }
 }
 
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn a_server_at_whose_address_nothing_answers_counts_as_cold_on_all_instances() {
+fn a_server_that_no_longer_listens_counts_as_cold_on_all_instances() {
     let servers: Vec<ServerSetup> = (0..2).map(|number| server(number, None)).collect();
     let mut fleet = fleet(&servers);
     let prompt = prompt(5);
     let now = TimeMs(10_000);
     let demand = demand(&prompt);
     let Decision::Send(placement) = fleet[0].decide(&demand, now) else {
-        panic!("refused");
+        panic!("the request was refused");
     };
     let attempt = fleet[0].begin_attempt(&demand, &placement, now);
     fleet[0].finish_attempt(attempt, AttemptOutcome::Down, now);
@@ -211,24 +211,24 @@
     assert!(
         arrivals
             .get(&index)
-            .is_none_or(|moments| most_in_a_second(moments) <= ARRIVALS_MAX)
+            .is_none_or(|arrival_times| max_arrivals_in_a_second(arrival_times) <= ARRIVALS_MAX)
     );
-    // It is not told on for ever: peers that heard of it do not keep the news alive among themselves.
-    let told: Vec<bool> = fleet
+    // It is not reported forever: peers that learned it from a report do not report it themselves.
+    let is_down_reported: Vec<bool> = fleet
         .iter_mut()
         .flat_map(|instance| instance.report(TimeMs(11_500)).servers)
         .map(|row| row.is_down)
         .collect();
-    assert!(!told.contains(&true));
+    assert!(!is_down_reported.contains(&true));
 }
 
 #[test]
-fn servers_of_an_evacuated_failure_domain_get_nothing_and_start_slowly_once_it_is_back() {
+fn servers_of_an_evacuated_failure_domain_get_nothing_and_start_slowly_afterwards() {
     let servers: Vec<ServerSetup> = (0..SERVERS).map(|number| server(number, None)).collect();
     let mut fleet = fleet(&servers);
     for instance in &mut fleet {
         instance.set_evacuated(&[domain(0)], TimeMs(10_000));
-        // The list is published anew at any time.
+        // The list may be published again at any time.
         instance.set_servers(&servers);
     }
     let during = arrivals(&mut fleet, 10_000, 11_000);
@@ -236,9 +236,9 @@
     for instance in &mut fleet {
         instance.set_evacuated(&[], TimeMs(11_000));
     }
-    for (server, moments) in arrivals(&mut fleet, 11_000, 14_000) {
+    for (server, arrival_times) in arrivals(&mut fleet, 11_000, 14_000) {
         assert!(
-            server % 3 > 0 || most_in_a_second(&moments) <= ARRIVALS_MAX,
+            server % 3 > 0 || max_arrivals_in_a_second(&arrival_times) <= ARRIVALS_MAX,
             "{server}"
         );
     }
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn where_every_failure_domain_is_evacuated_requests_are_refused_at_once() {
+fn requests_are_refused_at_once_if_every_failure_domain_is_evacuated() {
     let servers: Vec<ServerSetup> = (0..3).map(|number| server(number, None)).collect();
     let mut instance = instance(0, &servers, &members(0..1));
     instance.set_evacuated(&[domain(0), domain(1), domain(2)], TimeMs(10_000));
@@ -262,13 +262,13 @@
 }
 
 #[test]
-fn a_connect_that_failed_for_another_reason_makes_no_server_cold() {
+fn a_connect_that_failed_for_another_reason_does_not_make_a_server_cold() {
     let servers = [server(0, None)];
     let mut instance = instance(1, &servers, &members(0..3));
     let prompt = prompt(1);
     let demand = demand(&prompt);
     let Decision::Send(placement) = instance.decide(&demand, TimeMs(10_000)) else {
-        panic!("refused");
+        panic!("the request was refused");
     };
     let attempt = instance.begin_attempt(&demand, &placement, TimeMs(10_000));
     instance.finish_attempt(attempt, AttemptOutcome::Unreachable, TimeMs(10_000));
--- a/crates/reedsail_dispatch/tests/store_era_fleets.rs
+++ b/crates/reedsail_dispatch/tests/store_era_fleets.rs
@@ -1,6 +1,7 @@
-//! Fleets whose store comes back from older copies of itself, without sockets: instances that read it and instances
-//! that hear of it from peers, in any order, with cuts and restarts. All end with the records of the store, a server
-//! that every instance knew to have left gets nothing new, and nobody reads the whole list more than twice an era.
+//! Simulated fleets, without sockets, whose store is restored from older backups of itself. Some instances read the
+//! store and others learn from peers, in any order, with partitions and restarts. All instances must end with the
+//! records of the store, a server that every instance knew to have departed must get no new work, and no instance may
+//! read the whole list more than twice an era.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,18 +23,20 @@
 use reedsail_dispatch::ServerUpdate;
 
 const STEP_MS: u64 = 50;
-/// How often a reader looks at the store.
-const READ_EVERY_MS: u64 = 750;
-/// How often a server writes its record, and the operators write theirs again after the store came back.
-const WRITE_EVERY_MS: u64 = 1_000;
-/// A record that was not written for so long is dropped by the store.
-const LAPSE_MS: u64 = 3_000;
-/// How long after the last trouble all must have the store's records: three lapses, and what is kept against a copy.
+/// Interval at which a reader reads the store, in milliseconds.
+const READ_INTERVAL_MS: u64 = 750;
+/// Interval at which a server writes its record, and at which the operators write theirs again after a restore, in
+/// milliseconds.
+const WRITE_INTERVAL_MS: u64 = 1_000;
+/// Time after which the store drops a record that was not written, in milliseconds.
+const RECORD_EXPIRY_MS: u64 = 3_000;
+/// Time after the last disturbance within which all instances must have the store's records, in milliseconds: three
+/// expiries of records, and the time that departures are kept against a backup.
 const SETTLE_MS: u64 = 20_000;
 const SEEDS: std::ops::Range<u64> = 1..201;
 const SERVERS: u32 = 6;
 
-/// What the store holds: records in the order of writing, each with its key and whether it is there.
+/// The contents of the store: records in the order of writing, each with its key and whether it exists.
 #[derive(Clone, Default)]
 struct Log {
     records: Vec<(u32, bool)>,
@@ -72,14 +75,14 @@
         let mut records = self.log.records.iter().rev();
         records
             .find(|(key, _)| *key == server)
-            .is_some_and(|(_, is_there)| *is_there)
+            .is_some_and(|(_, is_present)| *is_present)
     }
 
     fn evacuated(&self) -> bool {
         self.log.evacuations.last().copied().unwrap_or(false)
     }
 
-    /// Lets servers and operators write what they hold to be true, and drops records that were not written.
+    /// Makes servers and operators write their current state, and drops records that were not written in time.
     fn step(&mut self, now: TimeMs) {
         if self.is_down {
             return;
@@ -87,17 +90,17 @@
         for server in 0..SERVERS {
             let is_alive = self.alive.get(&server).copied().unwrap_or(true);
             let written_at = self.written_at.get(&server).copied().unwrap_or(TimeMs(0));
-            if is_alive && now.since_ms(written_at) >= WRITE_EVERY_MS {
+            if is_alive && now.since_ms(written_at) >= WRITE_INTERVAL_MS {
                 self.written_at.insert(server, now);
                 if !self.is_listed(server) {
                     self.log.records.push((server, true));
                 }
             }
-            if self.is_listed(server) && now.since_ms(written_at) >= LAPSE_MS {
+            if self.is_listed(server) && now.since_ms(written_at) >= RECORD_EXPIRY_MS {
                 self.log.records.push((server, false));
             }
         }
-        if self.evacuated() != self.is_evacuated && now.0.is_multiple_of(WRITE_EVERY_MS) {
+        if self.evacuated() != self.is_evacuated && now.0.is_multiple_of(WRITE_INTERVAL_MS) {
             self.log.evacuations.push(self.is_evacuated);
         }
     }
@@ -133,8 +136,8 @@
     }
 }
 
-fn change((server, is_there): (u32, bool)) -> ServerChange {
-    if is_there {
+fn change((server, is_present): (u32, bool)) -> ServerChange {
+    if is_present {
         ServerChange::Announced(record(server))
     } else {
         ServerChange::Dropped { id: id(server) }
@@ -145,16 +148,16 @@
 struct Instance {
     list: ServerList,
     evacuations: Evacuations,
-    /// The place that its own reader has read to.
+    /// The position that its own reader has read up to.
     read_to: Option<StorePosition>,
     next_read_at: TimeMs,
     whole_reads: BTreeMap<u32, u32>,
-    cut_until: TimeMs,
+    partitioned_until: TimeMs,
 }
 
 struct Fleet {
     store: Store,
-    copies: Vec<(TimeMs, Log)>,
+    backups: Vec<(TimeMs, Log)>,
     instances: Vec<Instance>,
     readers: usize,
     random: StdRng,
@@ -171,7 +174,7 @@
         };
         Self {
             store: Store::default(),
-            copies: Vec::new(),
+            backups: Vec::new(),
             instances: (0..instances).map(|_| Instance::default()).collect(),
             readers: random.random_range(1..=3),
             random,
@@ -183,7 +186,7 @@
         self.now = self.now.plus_ms(STEP_MS);
         self.store.step(self.now);
         if self.now.0.is_multiple_of(500) {
-            self.copies.push((self.now, self.store.log.clone()));
+            self.backups.push((self.now, self.store.log.clone()));
         }
         for index in 0..self.instances.len() {
             let now = self.now;
@@ -191,22 +194,22 @@
             let instance = &mut self.instances[index];
             instance.list.tick(now);
             instance.evacuations.tick(now);
-            if is_reader && !self.store.is_down && now >= instance.cut_until && now >= instance.next_read_at {
-                instance.next_read_at = now.plus_ms(READ_EVERY_MS);
+            if is_reader && !self.store.is_down && now >= instance.partitioned_until && now >= instance.next_read_at {
+                instance.next_read_at = now.plus_ms(READ_INTERVAL_MS);
                 read(instance, &self.store, now);
             }
         }
         self.gossip();
     }
 
-    /// Lets each instance hear a few others.
+    /// Exchanges messages between random pairs of instances.
     fn gossip(&mut self) {
         let now = self.now;
         for _ in 0..self.instances.len() * 2 {
             let from = self.random.random_range(0..self.instances.len());
             let to = self.random.random_range(0..self.instances.len());
-            let is_cut = |index: usize| now < self.instances[index].cut_until;
-            if from == to || is_cut(from) || is_cut(to) {
+            let is_partitioned = |index: usize| now < self.instances[index].partitioned_until;
+            if from == to || is_partitioned(from) || is_partitioned(to) {
                 continue;
             }
             let (listing, state, departures, rows) = {
@@ -238,8 +241,9 @@
         }
     }
 
-    /// Something happens: a server leaves or comes, an evacuation, a cut, a restart, or the store's return.
-    fn trouble(&mut self) {
+    /// Applies one random disturbance: a server departs or comes back, an evacuation, a partition, a restart, a store
+    /// outage or a restore.
+    fn disturb(&mut self) {
         let index = self.random.random_range(0..self.instances.len());
         match self.random.random_range(0..7) {
             0 | 1 => {
@@ -250,7 +254,7 @@
             2 => self.store.is_evacuated = self.random.random(),
             3 => {
                 let span_ms = self.random.random_range(500..8_000);
-                self.instances[index].cut_until = self.now.plus_ms(span_ms);
+                self.instances[index].partitioned_until = self.now.plus_ms(span_ms);
             }
             4 => self.instances[index] = Instance::default(),
             5 => self.store.is_down = !self.store.is_down,
@@ -261,11 +265,11 @@
     fn restore(&mut self) {
         let back_ms = self.random.random_range(500..6_000);
         let at = TimeMs(self.now.0.saturating_sub(back_ms));
-        let older = self.copies.iter().rev().find(|(copied_at, _)| *copied_at <= at);
-        if let Some((_, log)) = older {
+        let backup = self.backups.iter().rev().find(|(saved_at, _)| *saved_at <= at);
+        if let Some((_, log)) = backup {
             self.store.log = log.clone();
             self.store.era += 1;
-            // Each server finds out at its next writing.
+            // Each server notices at its next write.
             self.store.is_down = false;
         }
     }
@@ -284,7 +288,7 @@
 }
 
 #[test]
-fn all_end_with_the_records_of_the_store_and_nobody_reads_it_over_and_over() {
+fn all_instances_end_with_the_records_of_the_store_after_few_whole_reads() {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed);
         for _ in 0..100 {
@@ -292,7 +296,7 @@
         }
         for _ in 0..600 {
             if fleet.random.random_bool(0.03) {
-                fleet.trouble();
+                fleet.disturb();
             }
             fleet.step();
         }
@@ -322,17 +326,17 @@
                 fleet.store.evacuated(),
                 "seed {seed}, instance {index}"
             );
-            let most = instance.whole_reads.values().max().copied().unwrap_or(0);
+            let max_whole_reads = instance.whole_reads.values().max().copied().unwrap_or(0);
             assert!(
-                most <= 2,
-                "seed {seed}, instance {index}: {most} whole reads of one era"
+                max_whole_reads <= 2,
+                "seed {seed}, instance {index}: {max_whole_reads} whole reads of one era"
             );
         }
     }
 }
 
 #[test]
-fn no_copy_brings_a_server_back_that_an_instance_knew_to_have_left() {
+fn no_backup_brings_back_a_server_that_all_instances_knew_to_have_departed() {
     for seed in SEEDS {
         let mut fleet = Fleet::new(seed);
         for _ in 0..100 {
@@ -340,14 +344,14 @@
         }
         let server = fleet.random.random_range(0..SERVERS);
         fleet.store.alive.insert(server, false);
-        let lapse_ms = LAPSE_MS + WRITE_EVERY_MS + READ_EVERY_MS + 1_000;
-        for _ in 0..lapse_ms / STEP_MS {
+        let departure_ms = RECORD_EXPIRY_MS + WRITE_INTERVAL_MS + READ_INTERVAL_MS + 1_000;
+        for _ in 0..departure_ms / STEP_MS {
             fleet.step();
         }
         fleet.restore();
         fleet.restore();
-        // As long as the store may go on listing it: until it lapses there again.
-        for _ in 0..lapse_ms / STEP_MS {
+        // The store may list the server until its record expires there again.
+        for _ in 0..departure_ms / STEP_MS {
             fleet.step();
             for (index, instance) in fleet.instances.iter().enumerate() {
                 let records = instance.list.records(fleet.now);
--- a/crates/reedsail_dispatch/tests/store_eras.rs
+++ b/crates/reedsail_dispatch/tests/store_eras.rs
@@ -1,6 +1,6 @@
-//! What is believed once the store has come back from an older copy of itself: offsets go back and are given out
-//! again, the copy names servers that have left and lacks ones that came, and evacuations are as they were some
-//! seconds ago, until all is written again.
+//! The server list and the evacuations after the store was restored from an older backup of itself. Offsets go back
+//! and are assigned again, the backup names servers that have departed and lacks new ones, and evacuations are some
+//! seconds old, until everything is written again.
 
 use std::net::SocketAddr;
 
@@ -80,25 +80,25 @@
     let mut new = list();
     let now = START.plus_ms(1_000);
     new.apply(whole(2, 4, &["one", "two"]), now, now);
-    let mut reader_of_the_old = old.clone();
-    let compared = reader_of_the_old.compare_with_peer(&state(&new, &[], now), now);
+    let mut old_reader = old.clone();
+    let compared = old_reader.compare_with_peer(&state(&new, &[], now), now);
     assert_eq!(compared, ListComparison::Newer);
-    reader_of_the_old.apply_listing(new.listing(now), now);
-    assert_eq!(reader_of_the_old.revision(), StorePosition::new(2, 4));
+    old_reader.apply_listing(new.listing(now), now);
+    assert_eq!(old_reader.revision(), StorePosition::new(2, 4));
     let age_ms = new.age_ms(now.plus_ms(700));
     let compared = new.compare_with_peer(&state(&old, &[], START), now.plus_ms(700));
     assert_eq!(compared, ListComparison::NothingNew);
     assert_eq!(
         new.age_ms(now.plus_ms(700)),
         age_ms,
-        "an older era makes no list fresh"
+        "an older era does not make the list fresh"
     );
     let delta = new.apply(whole(1, 99, &["one"]), now, now);
-    assert!(delta.is_empty(), "a late answer of the older era");
+    assert!(delta.is_empty(), "a late answer from the older era must change nothing");
 }
 
 #[test]
-fn a_server_that_has_left_gets_nothing_because_an_old_copy_lists_it() {
+fn a_departed_server_gets_nothing_because_a_backup_lists_it() {
     let mut list = list();
     let now = START.plus_ms(500);
     let dropped = ServerChange::Dropped { id: "one".to_owned() };
@@ -107,11 +107,11 @@
     list.apply(whole(2, 8, &["one", "two", "three"]), now, now);
     assert_eq!(usable(&list, now), ["three", "two"]);
     assert_eq!(list.kept_departures(), ["one"]);
-    // A peer that has started since knows the copy alone.
+    // A peer that has started since knows only the backup.
     let mut newcomer = ServerList::default();
     newcomer.apply(whole(2, 8, &["one", "two", "three"]), now, now);
     list.apply_listing(newcomer.listing(now), now);
-    // Nor does it stay away for good if it writes its record again.
+    // The server is used again once it writes its record.
     let now = now.plus_ms(1_000);
     list.apply(change(2, 9, ServerChange::Announced(record("one"))), now, now);
     assert_eq!(usable(&list, now), ["one", "three", "two"]);
@@ -130,12 +130,12 @@
     assert_eq!(usable(&list, now), ["one", "three", "two"]);
 }
 
-/// A copy lacked the records of all servers, and the next copy, of another era, had them again. Each server was well all
-/// the while; none was used for fifteen seconds, since the list held departures against the copy that it had only
-/// inferred from missing records. What showed it: line 405 with `"kept_departures":"5"` on three instances, and then
-/// 9,934 requests refused with `"kind":"no_backend"`.
+/// Guards against departures that were only inferred from missing records. A backup lacked the records of all
+/// servers, and the next backup, of another era, had them again. All servers were healthy, but none was used for
+/// fifteen seconds, since the list kept the inferred departures against the backup. Event 405 had
+/// `"kept_departures":"5"` on three instances, and 9,934 requests were refused with `"kind":"no_backend"`.
 #[test]
-fn a_departure_that_was_only_inferred_is_not_held_against_a_copy() {
+fn an_inferred_departure_is_not_kept_against_a_backup() {
     let mut list = list();
     let now = START.plus_ms(1_000);
     list.apply(whole(2, 0, &[]), now, now);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_server_that_the_copy_lacks_stays_for_the_grace_of_an_outage() {
+fn a_server_that_the_backup_lacks_stays_for_the_grace_period() {
     let mut list = list();
     list.apply(whole(2, 4, &["one", "two"]), START, START);
     list.tick(START.plus_ms(1_900));
@@ -180,40 +180,40 @@
 }
 
 #[test]
-fn an_evacuation_written_again_and_taken_back_is_taken_back() {
-    let mut known = Evacuations::default();
-    known.apply(&read(vec![row(1, 8, true)], Some(StorePosition::new(1, 8))));
-    known.apply(&read(vec![row(2, 6, true)], Some(StorePosition::new(2, 6))));
-    assert!(known.apply(&read(vec![row(2, 7, false)], None)));
-    assert!(known.active().is_empty());
+fn an_evacuation_that_is_written_again_and_then_ended_has_ended() {
+    let mut evacuations = Evacuations::default();
+    evacuations.apply(&read(vec![row(1, 8, true)], Some(StorePosition::new(1, 8))));
+    evacuations.apply(&read(vec![row(2, 6, true)], Some(StorePosition::new(2, 6))));
+    assert!(evacuations.apply(&read(vec![row(2, 7, false)], None)));
+    assert!(evacuations.active().is_empty());
     assert!(
-        !known.merge(&[row(1, 99, true)]),
-        "a peer that has not heard of the era"
+        !evacuations.merge(&[row(1, 99, true)]),
+        "a peer that does not know the era yet"
     );
 }
 
 #[test]
-fn what_the_copy_contradicts_stays_in_force_until_it_is_written_again() {
+fn a_row_that_the_backup_contradicts_stays_in_force_until_it_is_written_again() {
     for was_active in [true, false] {
-        let mut known = Evacuations::default();
-        known.merge(&[row(1, 8, was_active)]);
+        let mut evacuations = Evacuations::default();
+        evacuations.merge(&[row(1, 8, was_active)]);
         let rows = if was_active {
             Vec::new()
         } else {
             vec![row(2, 3, true)]
         };
-        assert!(!known.apply(&read(rows, Some(StorePosition::new(2, 5)))));
-        assert_eq!((known.active().is_empty(), known.withheld()), (!was_active, 1));
-        let mut written_again = known.clone();
+        assert!(!evacuations.apply(&read(rows, Some(StorePosition::new(2, 5)))));
+        assert_eq!((evacuations.active().is_empty(), evacuations.withheld()), (!was_active, 1));
+        let mut written_again = evacuations.clone();
         assert!(!written_again.apply(&read(vec![row(2, 6, was_active)], None)));
         assert_eq!(
             (written_again.active().is_empty(), written_again.withheld()),
             (!was_active, 0)
         );
-        // The operators do not write it again: the store counts.
-        known.tick(START);
-        assert!(!known.tick(START.plus_ms(3_999)));
-        assert!(known.tick(START.plus_ms(4_000)));
-        assert_eq!((known.active().is_empty(), known.withheld()), (was_active, 0));
+        // The operators do not write it again, so the store counts.
+        evacuations.tick(START);
+        assert!(!evacuations.tick(START.plus_ms(3_999)));
+        assert!(evacuations.tick(START.plus_ms(4_000)));
+        assert_eq!((evacuations.active().is_empty(), evacuations.withheld()), (was_active, 0));
     }
 }
--- a/crates/reedsail_dispatch/tests/store_reader.rs
+++ b/crates/reedsail_dispatch/tests/store_reader.rs
@@ -32,22 +32,22 @@
 }
 
 #[test]
-fn the_smallest_name_of_a_failure_domain_reads() {
+fn the_smallest_name_hash_of_a_failure_domain_reads() {
     assert!(reads(5, &[]));
     assert!(reads(5, &[peer(6, 0), peer(9, 0)]));
     assert!(!reads(5, &[peer(6, 0), peer(4, 0)]));
-    let elsewhere = ReaderCandidate {
+    let in_other_domain = ReaderCandidate {
         failure_domain: NameHash(8),
         ..peer(4, 0)
     };
-    assert!(reads(5, &[elsewhere]));
-    // Where one reads for the whole fleet, its failure domain says nothing.
+    assert!(reads(5, &[in_other_domain]));
+    // If one instance reads for the whole fleet, its failure domain does not matter.
     let own = DutyRank::of(NameHash(5), 120);
-    assert!(!is_reader(own, None, [elsewhere], GossipTiming::of(1)));
+    assert!(!is_reader(own, None, [in_other_domain], GossipTiming::of(1)));
 }
 
 #[test]
-fn of_unequal_instances_the_largest_reads() {
+fn the_instance_with_the_largest_processor_share_reads() {
     let large = ReaderCandidate {
         processor_milli: 500,
         ..peer(9, 0)
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_peer_that_stops_or_is_silent_is_not_counted_on() {
+fn a_stopping_or_silent_peer_is_not_the_reader() {
     let stopping = ReaderCandidate {
         is_stopping: true,
         ..peer(4, 0)
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn stale_knowledge_is_read_whoever_the_reader_is() {
+fn stale_data_is_read_by_any_instance() {
     let small = GossipTiming::of(8);
     assert!(stale_in(StoreTopic::Servers, 1_200, small) == Staleness::After(0));
     assert!(stale_in(StoreTopic::Servers, 1_201, small) == Staleness::For(1));
@@ -84,12 +84,12 @@
     assert!(stale_in(StoreTopic::Servers, 1_793, large) == Staleness::For(1));
 }
 
-/// Calls that a failure domain makes in a time without the store, if each instance checks ten times a
-/// second whether it may read and reads at most once in 200 ms.
-fn calls_while_away(instances: usize, away_ms: u64) -> usize {
+/// Returns the number of calls that a failure domain makes during an outage of the store, if each instance checks ten
+/// times a second whether it may read and reads at most once in 200 ms.
+fn calls_during_outage(instances: usize, outage_ms: u64) -> usize {
     let mut next_at = vec![0; instances];
     let mut calls = 0;
-    for now in (0..away_ms).step_by(100) {
+    for now in (0..outage_ms).step_by(100) {
         for (position, next_at) in next_at.iter_mut().enumerate() {
             if now >= *next_at && is_turn(position, instances, now) {
                 calls += 1;
@@ -101,13 +101,13 @@
 }
 
 #[test]
-fn while_the_store_is_away_calls_do_not_grow_with_the_failure_domain() {
+fn calls_during_an_outage_do_not_grow_with_the_failure_domain() {
     for instances in [2, 3, 20, 59, 200] {
-        let calls = calls_while_away(instances, 9_000);
+        let calls = calls_during_outage(instances, 9_000);
         assert!(calls <= 60, "{instances} instances made {calls} calls");
     }
-    // An instance that knows no other reads for itself, as often as it may.
-    assert_eq!(calls_while_away(1, 9_000), 45);
+    // An instance without peers reads as often as it may.
+    assert_eq!(calls_during_outage(1, 9_000), 45);
 }
 
 #[test]
