--- a/crates/reedsail_dispatch/src/attempt.rs
+++ b/crates/reedsail_dispatch/src/attempt.rs
@@ -12,7 +12,7 @@
 use crate::Demand;
 use crate::EngineWork;
 use crate::Placement;
-use crate::server_backoff::WindowPlace;
+use crate::server_backoff::WindowPermit;
 use crate::server_health::overdue_at;
 
 /// A request that was sent to a server. The caller returns it to the dispatcher when it ends.
@@ -38,7 +38,7 @@
     pub(crate) has_answered: bool,
     pub(crate) has_prompt: bool,
     /// Its place in the request window of a server that resumes after a back-off, until it is answered.
-    pub(crate) window_place: Option<WindowPlace>,
+    pub(crate) window_permit: Option<WindowPermit>,
     is_written: bool,
 }
 
@@ -119,7 +119,7 @@
             began_at: now,
             has_answered: false,
             has_prompt: demand.engine_prompt().is_some(),
-            window_place: None,
+            window_permit: None,
             is_written: false,
         }
     }
--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -256,7 +256,7 @@
         let server = self.servers.get_mut(placement.server);
         server.record_sent(limit, now);
         let rounds = plain_rounds(server);
-        let window_place = server.backoff.begin();
+        let window_permit = server.backoff.begin();
         server.own.running += 1;
         server.own.prefill_tokens += u64::from(placement.prefill_tokens);
         let name = server.setup.name;
@@ -264,7 +264,7 @@
             self.prefixes.record_sent(segment.id, placement.server, name, now);
         }
         let mut attempt = self.unanswered.begin(demand, placement, rounds, now);
-        attempt.window_place = window_place;
+        attempt.window_permit = window_permit;
         attempt
     }
 
@@ -276,8 +276,8 @@
         self.end_prefill(attempt);
         let took_ms = now.since_ms(attempt.began_at) as f64;
         let server = self.servers.get_mut(attempt.server);
-        if let Some(place) = attempt.window_place.take() {
-            server.backoff.widen(place, server.setup.slots);
+        if let Some(permit) = attempt.window_permit.take() {
+            server.backoff.widen(permit, server.setup.slots);
         }
         if server.setup.failure_domain != self.own_domain {
             self.reach.record_answered(server.setup.failure_domain, now);
@@ -311,8 +311,8 @@
         }
         let server = self.servers.get_mut(attempt.server);
         server.own.running = server.own.running.saturating_sub(1);
-        if let Some(place) = attempt.window_place.take() {
-            server.backoff.close(place);
+        if let Some(permit) = attempt.window_permit.take() {
+            server.backoff.release(permit);
         }
         // A rejection with a back-off time does not count against the server's health.
         if outcome != AttemptOutcome::Rejected || !server.backoff.is_active(now) {
--- a/crates/reedsail_dispatch/src/lib.rs
+++ b/crates/reedsail_dispatch/src/lib.rs
@@ -141,4 +141,4 @@
 pub use store_reader::StoreTopic;
 pub use store_reader::is_reader;
 pub use store_reader::is_turn;
-pub use store_reader::stale_in;
+pub use store_reader::staleness;
--- a/crates/reedsail_dispatch/src/load_report.rs
+++ b/crates/reedsail_dispatch/src/load_report.rs
@@ -66,7 +66,7 @@
 
 impl SuspectRow {
     /// Keeps at most `count_max` rows: those with the most ended servers, and of these the newest.
-    pub fn keep_most_telling(rows: &mut Vec<Self>, count_max: usize) {
+    pub fn keep_strongest(rows: &mut Vec<Self>, count_max: usize) {
         rows.sort_by_key(|row| (Reverse(row.servers.len()), row.changed_ms_ago, row.fingerprint));
         rows.truncate(count_max);
     }
--- a/crates/reedsail_dispatch/src/placement.rs
+++ b/crates/reedsail_dispatch/src/placement.rs
@@ -122,7 +122,7 @@
     fn usable(&self, server: GroupedServer, demand: &Demand<'_>, scope: CandidateScope) -> Option<&ServerState> {
         let state = self.servers.get(server.key);
         let is_usable = self.is_in_scope(state, scope)
-            && self.servers.takes_work(state, self.now)
+            && self.servers.accepts_work(state, self.now)
             && demand.regions.allows(state.setup.region)
             && !demand.tried.contains(&server.key);
         is_usable.then_some(state)
--- a/crates/reedsail_dispatch/src/quarantine.rs
+++ b/crates/reedsail_dispatch/src/quarantine.rs
@@ -303,7 +303,7 @@
         let mut rows: Vec<SuspectRow> = announced
             .map(|(fingerprint, suspect)| suspect.row(*fingerprint, now))
             .collect();
-        SuspectRow::keep_most_telling(&mut rows, ROWS_MAX);
+        SuspectRow::keep_strongest(&mut rows, ROWS_MAX);
         rows
     }
 
--- a/crates/reedsail_dispatch/src/server_backoff.rs
+++ b/crates/reedsail_dispatch/src/server_backoff.rs
@@ -39,7 +39,7 @@
 
 /// A request's permit from the window of a server.
 #[derive(Debug)]
-pub(crate) struct WindowPlace(());
+pub(crate) struct WindowPermit(());
 
 /// The back-off of one server, and the window that opens afterwards.
 #[derive(Clone, Copy, Debug, Default)]
@@ -86,21 +86,21 @@
     }
 
     /// Records that a request is sent. Returns its permit if the window is active.
-    pub(crate) fn begin(&mut self) -> Option<WindowPlace> {
+    pub(crate) fn begin(&mut self) -> Option<WindowPermit> {
         self.window?;
         self.unanswered += 1;
-        Some(WindowPlace(()))
+        Some(WindowPermit(()))
     }
 
     /// Returns the permit of a finished request to the window.
-    pub(crate) fn close(&mut self, _: WindowPlace) {
+    pub(crate) fn release(&mut self, _: WindowPermit) {
         self.unanswered = self.unanswered.saturating_sub(1);
     }
 
     /// Returns the permit of a request whose answer begins, and widens the window. `slots` is the number of the
     /// server's slots.
-    pub(crate) fn widen(&mut self, place: WindowPlace, slots: u32) {
-        self.close(place);
+    pub(crate) fn widen(&mut self, permit: WindowPermit, slots: u32) {
+        self.release(permit);
         self.window = self
             .window
             .map(|window| window + 1)
--- a/crates/reedsail_dispatch/src/server_life.rs
+++ b/crates/reedsail_dispatch/src/server_life.rs
@@ -44,11 +44,11 @@
     /// The list no longer names the server.
     Unlisted,
     /// The server announced in an answer that it is draining.
-    SaidDraining,
+    DrainingNotice,
     /// The server's failure domain is evacuated.
     Evacuated,
     /// The evacuation of the server's failure domain ended. The server may be cold until then.
-    Returned {
+    EvacuationEnded {
         /// The time from which it is warm unless its record says otherwise.
         cold_until: TimeMs,
     },
@@ -100,9 +100,9 @@
                 self.cold_until = cold_until;
             }
             LifeEvent::Unlisted => self.listing = Listing::Unlisted,
-            LifeEvent::SaidDraining => self.has_draining_notice = true,
+            LifeEvent::DrainingNotice => self.has_draining_notice = true,
             LifeEvent::Evacuated => self.is_evacuated = true,
-            LifeEvent::Returned { cold_until } => {
+            LifeEvent::EvacuationEnded { cold_until } => {
                 self.is_evacuated = false;
                 self.assume_cold(cold_until);
             }
@@ -141,7 +141,7 @@
     }
 
     /// Returns whether the server is draining only by a notice, while the list says that it accepts work.
-    pub fn drains_by_answer_alone(&self) -> bool {
+    pub fn is_draining_by_notice_only(&self) -> bool {
         self.has_draining_notice && self.listing == Listing::Ready
     }
 
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -115,7 +115,7 @@
             failure_rate: (self.health.own_failure_rate(now) * FAILURE_RATE_ONE) as u8,
             prefill_tokens: self.own.prefill_tokens.min(u64::from(u32::MAX)) as u32,
             is_down: self.down_at.is_some_and(|at| now.since_ms(at) < DOWN_REPORTED_MS),
-            is_draining: self.has_own_draining_notice && self.life.drains_by_answer_alone(),
+            is_draining: self.has_own_draining_notice && self.life.is_draining_by_notice_only(),
             is_backed_off: self.backoff.is_active(now),
         }
     }
@@ -146,7 +146,7 @@
     slots: HashMap<NameHash, u64>,
     /// Servers that this instance may have something to report about.
     active: BTreeSet<ServerKey>,
-    /// Servers found to be draining through peers since the last call of `take_peer_reported_draining`.
+    /// Servers found to be draining through peers since the last call of `take_draining_from_peers`.
     peer_reported_draining: Vec<ServerKey>,
     limits: HashMap<NameHash, SlowStartLimit>,
     evacuated: Vec<NameHash>,
@@ -250,7 +250,7 @@
                     .copied()
                     .unwrap_or_default();
                 let cold_until = limit.cold_until_after_evacuation(now);
-                server.life.apply(LifeEvent::Returned { cold_until });
+                server.life.apply(LifeEvent::EvacuationEnded { cold_until });
             }
         }
     }
@@ -267,7 +267,7 @@
 
     /// Returns whether a request may be sent to a server now. The senders are determined for cold servers only: doing
     /// so for all servers would cost the square of the fleet size.
-    pub(crate) fn takes_work(&self, server: &ServerState, now: TimeMs) -> bool {
+    pub(crate) fn accepts_work(&self, server: &ServerState, now: TimeMs) -> bool {
         match server.life.state(now) {
             LifeState::Warm => server.backoff.allows(now),
             LifeState::Cold => {
@@ -299,7 +299,7 @@
         let server = self.get_mut(key);
         let is_known = server.life.drains();
         server.has_own_draining_notice |= is_own;
-        server.life.apply(LifeEvent::SaidDraining);
+        server.life.apply(LifeEvent::DrainingNotice);
         if !is_known && !is_own {
             self.peer_reported_draining.push(key);
         }
--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -104,7 +104,7 @@
 }
 
 /// Returns the staleness of data of a topic, given its age in milliseconds.
-pub fn stale_in(topic: StoreTopic, age_ms: u64, timing: GossipTiming) -> Staleness {
+pub fn staleness(topic: StoreTopic, age_ms: u64, timing: GossipTiming) -> Staleness {
     let limit_ms = topic.stale_ms() + timing.update_delay_ms;
     if age_ms > limit_ms {
         Staleness::For(age_ms - limit_ms)
--- a/crates/reedsail_dispatch/tests/server_life.rs
+++ b/crates/reedsail_dispatch/tests/server_life.rs
@@ -24,9 +24,9 @@
         listed(false, Some(cold_until)),
         listed(true, None),
         LifeEvent::Unlisted,
-        LifeEvent::SaidDraining,
+        LifeEvent::DrainingNotice,
         LifeEvent::Evacuated,
-        LifeEvent::Returned { cold_until },
+        LifeEvent::EvacuationEnded { cold_until },
         LifeEvent::Down { cold_until },
     ]
 }
@@ -38,7 +38,7 @@
 /// Returns the state that the rule requires, given the last event of each kind.
 fn expected(sequence: &[LifeEvent], now: TimeMs) -> LifeState {
     let is_list_event = |event: &LifeEvent| matches!(event, LifeEvent::Listed { .. } | LifeEvent::Unlisted);
-    let is_operator_event = |event: &LifeEvent| matches!(event, LifeEvent::Evacuated | LifeEvent::Returned { .. });
+    let is_operator_event = |event: &LifeEvent| matches!(event, LifeEvent::Evacuated | LifeEvent::EvacuationEnded { .. });
     let Some(LifeEvent::Listed {
         is_draining,
         cold_until,
@@ -46,9 +46,9 @@
     else {
         return LifeState::Departed;
     };
-    let is_assumed_cold_event = |event: &LifeEvent| matches!(event, LifeEvent::Returned { .. } | LifeEvent::Down { .. });
+    let is_assumed_cold_event = |event: &LifeEvent| matches!(event, LifeEvent::EvacuationEnded { .. } | LifeEvent::Down { .. });
     let may_be_cold = last_event(sequence, is_assumed_cold_event).is_some() && now < COLD_UNTIL;
-    let has_draining_notice = sequence.contains(&LifeEvent::SaidDraining);
+    let has_draining_notice = sequence.contains(&LifeEvent::DrainingNotice);
     if is_draining || has_draining_notice {
         LifeState::Draining
     } else if last_event(sequence, is_operator_event) == Some(LifeEvent::Evacuated) {
--- a/crates/reedsail_dispatch/tests/store_reader.rs
+++ b/crates/reedsail_dispatch/tests/store_reader.rs
@@ -8,7 +8,7 @@
 use reedsail_dispatch::StoreTopic;
 use reedsail_dispatch::is_reader;
 use reedsail_dispatch::is_turn;
-use reedsail_dispatch::stale_in;
+use reedsail_dispatch::staleness;
 
 const DOMAIN: NameHash = NameHash(7);
 
@@ -74,14 +74,14 @@
 #[test]
 fn stale_data_is_read_by_any_instance() {
     let small = GossipTiming::of(8);
-    assert!(stale_in(StoreTopic::Servers, 1_200, small) == Staleness::After(0));
-    assert!(stale_in(StoreTopic::Servers, 1_201, small) == Staleness::For(1));
-    assert!(stale_in(StoreTopic::Configuration, 1_700, small) == Staleness::After(0));
-    assert!(stale_in(StoreTopic::Configuration, 1_701, small) == Staleness::For(1));
+    assert!(staleness(StoreTopic::Servers, 1_200, small) == Staleness::After(0));
+    assert!(staleness(StoreTopic::Servers, 1_201, small) == Staleness::For(1));
+    assert!(staleness(StoreTopic::Configuration, 1_700, small) == Staleness::After(0));
+    assert!(staleness(StoreTopic::Configuration, 1_701, small) == Staleness::For(1));
     // With 99 peers an update may arrive 592 ms later.
     let large = GossipTiming::of(99);
-    assert!(stale_in(StoreTopic::Servers, 1_792, large) == Staleness::After(0));
-    assert!(stale_in(StoreTopic::Servers, 1_793, large) == Staleness::For(1));
+    assert!(staleness(StoreTopic::Servers, 1_792, large) == Staleness::After(0));
+    assert!(staleness(StoreTopic::Servers, 1_793, large) == Staleness::For(1));
 }
 
 /// Returns the number of calls that a failure domain makes during an outage of the store, if each instance checks ten
--- a/crates/reedsail_gossip/src/load_sum.rs
+++ b/crates/reedsail_gossip/src/load_sum.rs
@@ -88,7 +88,7 @@
         keep_greatest(&mut workspaces, rows_max, |row| row.requested_cost.to_bits());
         workspaces.sort_by_key(|row| row.workspace);
         let mut suspects: Vec<SuspectRow> = self.suspects.values().cloned().collect();
-        SuspectRow::keep_most_telling(&mut suspects, SUSPECTS_MAX);
+        SuspectRow::keep_strongest(&mut suspects, SUSPECTS_MAX);
         LoadReport {
             servers,
             workspaces,
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -16,7 +16,7 @@
 use reedsail_dispatch::StoreTopic;
 use reedsail_dispatch::is_reader;
 use reedsail_dispatch::is_turn;
-use reedsail_dispatch::stale_in;
+use reedsail_dispatch::staleness;
 use reedsail_events::EventKind;
 use reedsail_gossip::Arrival;
 use reedsail_gossip::InstanceIdentity;
@@ -155,7 +155,7 @@
             return ReadTurn::Now(self.servers.revision());
         }
         let place = self.exchange.domain_position(now);
-        match stale_in(topic, age_ms, timing) {
+        match staleness(topic, age_ms, timing) {
             Staleness::For(stale_ms) if is_turn(place.position, place.instances, stale_ms) => {
                 ReadTurn::Now(self.servers.revision())
             }
