--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -223,7 +223,7 @@
     /// Has the next messages sent at once if peers must learn of something new.
     fn note_urgent(&self, now: TimeMs) {
         if self.exchange.is_urgent(&self.head_without_departures(now), now) {
-            self.shared.is_urgent.notify_one();
+            self.shared.peer_send_requested.notify_one();
         }
     }
 
--- a/crates/reedsail_router/src/control/thread.rs
+++ b/crates/reedsail_router/src/control/thread.rs
@@ -112,7 +112,7 @@
 async fn wait_for_tick<H: HeaderProtocol>(shared: &Shared<H>, next_tick_ms: u64) {
     select! {
         () = sleep(Duration::from_millis(next_tick_ms)) => {}
-        () = shared.is_urgent.notified() => {
+        () = shared.peer_send_requested.notified() => {
             sleep(Duration::from_millis(next_tick_ms.min(URGENT_GATHER_MS))).await;
         }
     }
--- a/crates/reedsail_router/src/header_values.rs
+++ b/crates/reedsail_router/src/header_values.rs
@@ -7,20 +7,20 @@
 use reedsail_dispatch::Prompt;
 use reedsail_dispatch::PromptSegment;
 
-use crate::HeaderFault;
+use crate::HeaderError;
 
 /// Reads a whole number, where the header is there.
 ///
 /// # Errors
 /// The header holds something else.
-pub fn read_number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderFault> {
+pub fn read_number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let number = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-    number.map(Some).ok_or(HeaderFault {
+    number.map(Some).ok_or(HeaderError {
         name,
-        allowed: "it holds a whole number",
+        expected: "it holds a whole number",
     })
 }
 
@@ -39,7 +39,7 @@
     headers: &HeaderMap,
     name: &'static str,
     output_tokens: u32,
-) -> Result<Option<Prompt>, HeaderFault> {
+) -> Result<Option<Prompt>, HeaderError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -57,9 +57,9 @@
                 output_tokens,
             })
         })
-        .ok_or(HeaderFault {
+        .ok_or(HeaderError {
             name,
-            allowed: "it holds parts as ID:TOKENS, the ID in hexadecimal, split by commas",
+            expected: "it holds parts as ID:TOKENS, the ID in hexadecimal, split by commas",
         })
 }
 
--- a/crates/reedsail_router/src/protocol.rs
+++ b/crates/reedsail_router/src/protocol.rs
@@ -26,12 +26,12 @@
 
 /// A header that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("header `{name}` cannot be read; {allowed}")]
-pub struct HeaderFault {
+#[error("header `{name}` cannot be read; {expected}")]
+pub struct HeaderError {
     /// The header.
     pub name: &'static str,
     /// What it may hold.
-    pub allowed: &'static str,
+    pub expected: &'static str,
 }
 
 /// What the router adds to a request for a backend server.
@@ -53,7 +53,7 @@
 
 /// What the head of a server's answer means for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerHead {
+pub enum ResponseKind {
     /// It belongs to another request.
     Mismatched,
     /// The server did not run the request and never will.
@@ -68,20 +68,20 @@
     ///
     /// # Errors
     /// Names the header that cannot be read.
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, HeaderFault>;
+    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, HeaderError>;
 
     /// Changes a caller's headers into those for a backend server.
     fn write_forward(&self, headers: &mut HeaderMap, forward: &ForwardHead<'_>);
 
     /// Reads the head of the answer to the request with the given id.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap, request_id: &HeaderValue) -> AnswerHead;
+    fn classify(&self, status: StatusCode, headers: &HeaderMap, request_id: &HeaderValue) -> ResponseKind;
 
     /// Reads what the head of an answer says of the server that a request was sent to; nothing if another server
     /// answered in its place.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> ServerNotice;
 
     /// Writes the id of the request into an answer of the router's own.
-    fn write_own_answer(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>);
+    fn write_router_response(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>);
 
     /// Formats a retry-after, given in milliseconds.
     fn retry_after(&self, after_ms: u64) -> HeaderValue;
--- a/crates/reedsail_router/src/shared.rs
+++ b/crates/reedsail_router/src/shared.rs
@@ -43,7 +43,7 @@
     pub(crate) routes: ArcSwap<RouteTable>,
     pub(crate) servers: ServerViews,
     /// Wakes the control thread when something is to be sent to peers at once.
-    pub(crate) is_urgent: Notify,
+    pub(crate) peer_send_requested: Notify,
     /// Tells the traffic thread that a connection to a server broke, so that the server is checked.
     pub(crate) connection_broke: Notify,
     /// The mean moment of what is known of other instances' load; zero while it comes from each directly.
@@ -68,7 +68,7 @@
             connections: AtomicUsize::new(0),
             routes: ArcSwap::default(),
             servers: ServerViews::default(),
-            is_urgent: Notify::new(),
+            peer_send_requested: Notify::new(),
             connection_broke: Notify::new(),
             load_known_at: AtomicU64::new(0),
         }
--- a/crates/reedsail_router/src/traffic/answer.rs
+++ b/crates/reedsail_router/src/traffic/answer.rs
@@ -89,7 +89,7 @@
     *response.status_mut() = StatusCode::from_u16(kind.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    protocol.write_own_answer(headers, request_id);
+    protocol.write_router_response(headers, request_id);
     if let Some(after_ms) = failure.retry_after_ms() {
         headers.insert(RETRY_AFTER, protocol.retry_after(after_ms));
     }
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -29,7 +29,7 @@
 
 use super::fingerprint::fingerprint_of;
 use crate::CallHead;
-use crate::HeaderFault;
+use crate::HeaderError;
 use crate::HeaderProtocol;
 use crate::Route;
 use crate::route_table::Identity;
@@ -111,7 +111,7 @@
 pub(crate) async fn read_call<H: HeaderProtocol>(
     shared: &Shared<H>,
     request: Request<Incoming>,
-    head: Result<CallHead, HeaderFault>,
+    head: Result<CallHead, HeaderError>,
     arrived_at: TimeMs,
 ) -> Result<Call, ErrorKind> {
     check_overload(shared)?;
@@ -120,7 +120,7 @@
     if header_bytes(&parts.headers) > limits.header_bytes_max {
         return Err(ErrorKind::HeaderTooLarge);
     }
-    let head = head.map_err(|_fault| ErrorKind::BadHeader)?;
+    let head = head.map_err(|_error| ErrorKind::BadHeader)?;
     let body = read_body(body, limits.body_bytes_max).await?;
     let routes = shared.routes.load_full();
     let call = route_call(&routes, parts, head, body, arrived_at)?;
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -25,9 +25,9 @@
 use super::call::Call;
 use super::server_notices::NoticedAnswer;
 use super::server_notices::take_notice;
-use crate::AnswerHead;
 use crate::ForwardHead;
 use crate::HeaderProtocol;
+use crate::ResponseKind;
 use crate::server_views::ServerView;
 use crate::shared::Shared;
 
@@ -196,15 +196,15 @@
     }
     let head = shared
         .protocol
-        .read_answer(response.status(), response.headers(), &call.id);
+        .classify(response.status(), response.headers(), &call.id);
     match head {
-        AnswerHead::Mismatched => fail(guard, sent, ErrorKind::AnswerMismatched),
-        AnswerHead::NotRun => {
+        ResponseKind::Mismatched => fail(guard, sent, ErrorKind::AnswerMismatched),
+        ResponseKind::NotRun => {
             guard.close(AttemptOutcome::Rejected);
             // The server's word takes the place of never having sent.
             AttemptResult::Rejected(sent.into_unsent())
         }
-        AnswerHead::Ran => {
+        ResponseKind::Ran => {
             let (head, body) = response.into_parts();
             AttemptResult::Answering(Box::new(Answering {
                 sent,
--- a/crates/reedsail_router/tests/common/test_headers.rs
+++ b/crates/reedsail_router/tests/common/test_headers.rs
@@ -5,11 +5,11 @@
 use hyper::header::AUTHORIZATION;
 use hyper::header::HeaderValue;
 use reedsail_dispatch::ServerNotice;
-use reedsail_router::AnswerHead;
 use reedsail_router::CallHead;
 use reedsail_router::ForwardHead;
-use reedsail_router::HeaderFault;
+use reedsail_router::HeaderError;
 use reedsail_router::HeaderProtocol;
+use reedsail_router::ResponseKind;
 use reedsail_router::insert_text;
 use reedsail_router::read_bearer;
 use reedsail_router::read_number;
@@ -44,7 +44,7 @@
 pub(crate) struct TestHeaders;
 
 impl HeaderProtocol for TestHeaders {
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, HeaderFault> {
+    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, HeaderError> {
         Ok(CallHead {
             request_id: headers.get(REQUEST_ID).cloned(),
             deadline_ms: read_number(headers, DEADLINE)?,
@@ -76,16 +76,16 @@
         }
     }
 
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap, request_id: &HeaderValue) -> AnswerHead {
+    fn classify(&self, status: StatusCode, headers: &HeaderMap, request_id: &HeaderValue) -> ResponseKind {
         let echoed = headers.get(REQUEST_ID);
         if echoed.is_some_and(|echoed| echoed != request_id) {
-            AnswerHead::Mismatched
+            ResponseKind::Mismatched
         } else if headers.get(RAN).is_some_and(|ran| ran == "not_run")
             || status == StatusCode::MISDIRECTED_REQUEST
         {
-            AnswerHead::NotRun
+            ResponseKind::NotRun
         } else {
-            AnswerHead::Ran
+            ResponseKind::Ran
         }
     }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    fn write_own_answer(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>) {
+    fn write_router_response(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>) {
         if let Some(id) = request_id {
             headers.insert(REQUEST_ID, id.clone());
         }
