--- a/crates/reedsail_router/src/admin.rs
+++ b/crates/reedsail_router/src/admin.rs
@@ -39,18 +39,18 @@
 ) {
     let mut server = http1::Builder::new();
     server.auto_date_header(false);
-    let answer = move |request| answer(request, Arc::clone(&shared), control.clone());
-    serve_pages(listener, server, answer).await;
+    let handler = move |request| handle_request(request, Arc::clone(&shared), control.clone());
+    serve_pages(listener, server, handler).await;
 }
 
-async fn answer<H: HeaderProtocol>(
+async fn handle_request<H: HeaderProtocol>(
     request: Request<Incoming>,
     shared: Arc<Shared<H>>,
     control: Address<Control<H>>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let path = request.uri().path();
     let response = if path == shared.settings.readiness_path {
-        plain(if shared.is_ready() {
+        empty_response(if shared.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -60,38 +60,38 @@
     } else if path == CONFIGURATION_PATH {
         let routes = shared.routes.load();
         match routes.version() {
-            0 => plain(StatusCode::NOT_FOUND),
-            _ => json(&routes.configuration),
+            0 => empty_response(StatusCode::NOT_FOUND),
+            _ => json_response(&routes.configuration),
         }
     } else if path == SERVERS_PATH {
-        let differs_from = request.uri().query().and_then(digest_of);
+        let differs_from = request.uri().query().and_then(parse_digest_query);
         match control.send(ListServers { differs_from }).await {
-            Ok(Some(page)) => json_page(page),
-            Ok(None) => plain(StatusCode::GONE),
+            Ok(Some(page)) => json_text_response(page),
+            Ok(None) => empty_response(StatusCode::GONE),
             // The actor ends only with the instance.
-            Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE),
+            Err(_) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     } else {
-        plain(StatusCode::NOT_FOUND)
+        empty_response(StatusCode::NOT_FOUND)
     };
     Ok(response)
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-fn json(value: &impl Serialize) -> Response<Full<Bytes>> {
+fn json_response(value: &impl Serialize) -> Response<Full<Bytes>> {
     // No field of these pages can fail to be written; a fault of the code shows as a status.
     let Ok(text) = serde_json::to_vec(value) else {
-        return plain(StatusCode::INTERNAL_SERVER_ERROR);
+        return empty_response(StatusCode::INTERNAL_SERVER_ERROR);
     };
-    json_page(Bytes::from(text))
+    json_text_response(Bytes::from(text))
 }
 
-fn json_page(text: Bytes) -> Response<Full<Bytes>> {
+fn json_text_response(text: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text));
     response
         .headers_mut()
@@ -100,7 +100,7 @@
 }
 
 /// Returns the digest that a query names; one that cannot be read asks for the whole list.
-fn digest_of(query: &str) -> Option<u64> {
+fn parse_digest_query(query: &str) -> Option<u64> {
     let digest = query.strip_prefix(DIGEST_QUERY)?;
     u64::from_str_radix(digest, 16).ok()
 }
--- a/crates/reedsail_router/src/metrics.rs
+++ b/crates/reedsail_router/src/metrics.rs
@@ -62,42 +62,42 @@
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         Self {
-            answers: counters(
+            answers: counter_vec(
                 &registry,
                 "reedsail_router_answers_total",
                 "Requests.",
                 &["outcome"],
             ),
-            first_event: latencies(
+            first_event: latency_histograms(
                 &registry,
                 "reedsail_router_first_part_seconds",
                 "Time from a request's arrival to the first event of its answer.",
             ),
-            load_age: latencies(
+            load_age: latency_histograms(
                 &registry,
                 "reedsail_router_load_age_seconds",
                 "Age of what is known of other instances' load when a server is chosen.",
             ),
-            retries: counters(&registry, "reedsail_router_repeats_total", "Retries.", &["cause"]),
-            connects: counters(
+            retries: counter_vec(&registry, "reedsail_router_repeats_total", "Retries.", &["cause"]),
+            connects: counter_vec(
                 &registry,
                 "reedsail_router_connects_total",
                 "Connections opened to backend servers, by outcome.",
                 &["outcome"],
             ),
-            workspace_tokens: WorkspaceTokens::new(counters(
+            workspace_tokens: WorkspaceTokens::new(counter_vec(
                 &registry,
                 "reedsail_router_workspace_tokens_total",
                 "Tokens of requests, by workspace and by what became of them.",
                 &["workspace", "what"],
             )),
-            store_reads: counters(
+            store_reads: counter_vec(
                 &registry,
                 "reedsail_router_store_reads_total",
                 "Reads of the store, by what was read and outcome.",
                 &["what", "outcome"],
             ),
-            peer_messages: counters(
+            peer_messages: counter_vec(
                 &registry,
                 "reedsail_router_peer_messages_total",
                 "Load messages to and from peers.",
@@ -108,7 +108,7 @@
                 "reedsail_router_server_ends_total",
                 "Backend servers that ended while requests of this instance ran there.",
             ),
-            server_notices: counters(
+            server_notices: counter_vec(
                 &registry,
                 "reedsail_router_server_notices_total",
                 "Answers in which a backend server said that it drains, or asked this instance to send nothing for a while.",
@@ -161,7 +161,7 @@
 
 /// Names, labels and buckets are constants of this file, so that none of these can fail once the tests
 /// have made them.
-fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+fn counter_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let counters = IntCounterVec::new(Opts::new(name, help), labels).expect("the name and labels are valid");
     register(registry, counters.clone());
     counters
@@ -179,7 +179,7 @@
     gauge
 }
 
-fn latencies(registry: &Registry, name: &str, help: &str) -> HistogramVec {
+fn latency_histograms(registry: &Registry, name: &str, help: &str) -> HistogramVec {
     let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
     let latencies = HistogramVec::new(options, &["service"]).expect("the name and labels are valid");
     register(registry, latencies.clone());
--- a/crates/reedsail_router/src/route_table.rs
+++ b/crates/reedsail_router/src/route_table.rs
@@ -18,7 +18,7 @@
 
 /// The workspace that a request counts against.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Identity {
+pub(crate) enum CallerIdentity {
     /// A workspace's key was sent.
     Workspace(Arc<WorkspaceEntry>),
     /// The route needs no key.
@@ -105,9 +105,9 @@
     /// Returns where requests of a route and a workspace may run. What this configuration does not have restricts
     /// nothing.
     pub(crate) fn allowed_regions(&self, route: &Route, workspace: Option<NameHash>) -> AllowedRegions {
-        let of_route = self.regions_by_route.get(&route.name);
-        let of_workspace = workspace.and_then(|workspace| self.regions_by_workspace.get(&workspace));
-        let named = of_route.into_iter().chain(of_workspace);
+        let route_regions = self.regions_by_route.get(&route.name);
+        let workspace_regions = workspace.and_then(|workspace| self.regions_by_workspace.get(&workspace));
+        let named = route_regions.into_iter().chain(workspace_regions);
         named.fold(AllowedRegions::Any, |regions, other| regions.intersection(other))
     }
 
@@ -117,24 +117,24 @@
     }
 
     /// Finds whom a request of the route counts against.
-    pub(crate) fn identify(&self, route: &Route, key: Option<&str>) -> Identity {
+    pub(crate) fn identify(&self, route: &Route, key: Option<&str>) -> CallerIdentity {
         if let Some(workspace) = key.and_then(|key| self.workspace(key)) {
-            return Identity::Workspace(Arc::clone(workspace));
+            return CallerIdentity::Workspace(Arc::clone(workspace));
         }
         if route.is_anonymous || self.configuration.workspaces.is_empty() {
-            return Identity::Anonymous;
+            return CallerIdentity::Anonymous;
         }
-        Identity::Unknown
+        CallerIdentity::Unknown
     }
 }
 
 /// Collects the regions of those entries of a configuration that name some.
 fn named_regions<'a, Entry: 'a, Key: Eq + std::hash::Hash>(
     entries: impl Iterator<Item = &'a Entry>,
-    read: impl Fn(&'a Entry) -> (Key, Option<&'a [String]>),
+    key_and_regions: impl Fn(&'a Entry) -> (Key, Option<&'a [String]>),
 ) -> HashMap<Key, AllowedRegions> {
     let named = entries.filter_map(|entry| {
-        let (key, names) = read(entry);
+        let (key, names) = key_and_regions(entry);
         Some((key, AllowedRegions::from_names(Some(names?))))
     });
     named.collect()
--- a/crates/reedsail_router/src/server_views.rs
+++ b/crates/reedsail_router/src/server_views.rs
@@ -33,12 +33,12 @@
         self.0.read().unwrap_or_else(PoisonError::into_inner).is_empty()
     }
 
-    /// Takes over servers that are new or have changed, and takes out those that are gone.
-    pub(crate) fn update(&self, used: Vec<(ServerKey, ServerView)>, gone: &[ServerKey]) {
+    /// Takes over servers that are new or have changed, and takes out those that are removed.
+    pub(crate) fn update(&self, updated: Vec<(ServerKey, ServerView)>, removed: &[ServerKey]) {
         let mut views = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        for key in gone {
+        for key in removed {
             views.remove(key);
         }
-        views.extend(used);
+        views.extend(updated);
     }
 }
--- a/crates/reedsail_router/src/share_fields.rs
+++ b/crates/reedsail_router/src/share_fields.rs
@@ -6,17 +6,17 @@
 /// enough for all.
 pub(crate) fn share_fields(share: &WorkspaceShare) -> [(&'static str, String); 3] {
     let level = if share.level_cost.is_finite() {
-        shown(share.level_cost)
+        format_cost(share.level_cost)
     } else {
         "none".to_owned()
     };
     [
-        ("requested_tokens", shown(share.requested_cost)),
-        ("sent_tokens", shown(share.sent_cost)),
+        ("requested_tokens", format_cost(share.requested_cost)),
+        ("sent_tokens", format_cost(share.sent_cost)),
         ("level_tokens", level),
     ]
 }
 
-fn shown(cost: f64) -> String {
+fn format_cost(cost: f64) -> String {
     format!("{cost:.0}")
 }
--- a/crates/reedsail_router/src/shared.rs
+++ b/crates/reedsail_router/src/shared.rs
@@ -45,7 +45,7 @@
     /// Wakes the control thread when something is to be sent to peers at once.
     pub(crate) peer_send_requested: Notify,
     /// Tells the traffic thread that a connection to a server broke, so that the server is checked.
-    pub(crate) connection_broke: Notify,
+    pub(crate) connection_failed: Notify,
     /// The mean moment of what is known of other instances' load; zero while it comes from each directly.
     load_known_at: AtomicU64,
     dispatcher: Mutex<Dispatcher>,
@@ -69,7 +69,7 @@
             routes: ArcSwap::default(),
             servers: ServerViews::default(),
             peer_send_requested: Notify::new(),
-            connection_broke: Notify::new(),
+            connection_failed: Notify::new(),
             load_known_at: AtomicU64::new(0),
         }
     }
@@ -111,7 +111,7 @@
 
     /// Tells whether a connection is to be closed after its next answer: while the instance stops, while
     /// callers keep more of them than its memory allows, and for some of them while it sheds callers.
-    pub(crate) fn sheds_connection(&self) -> bool {
+    pub(crate) fn should_close_connection(&self) -> bool {
         self.shutdown.has_begun()
             || (self.overload.sheds_callers() && rand::rng().random_ratio(1, CLOSE_ONE_IN))
             || self.connections.load(Ordering::Relaxed) as u64 > self.settings.connections_max()
--- a/crates/reedsail_router/src/traffic/attempt_guard.rs
+++ b/crates/reedsail_router/src/traffic/attempt_guard.rs
@@ -61,7 +61,7 @@
             let now = self.shared.clock.now();
             self.shared.dispatcher().finish_attempt(attempt, outcome, now);
             if outcome == AttemptOutcome::Broken {
-                self.shared.connection_broke.notify_one();
+                self.shared.connection_failed.notify_one();
             }
         }
     }
@@ -82,16 +82,16 @@
 
 impl<H> OpenAttempt<H> {
     /// Ends an attempt whose answer was read to its end: its connection may be used again.
-    pub(crate) fn complete(self, pool: &Pool, answer_headers: &HeaderMap, outcome: AttemptOutcome) {
+    pub(crate) fn complete(self, pool: &Pool, response_headers: &HeaderMap, outcome: AttemptOutcome) {
         if let Some(server) = self.guard.server() {
             let now = self.guard.shared.clock.now();
-            pool.give_back(server, self.connection, answer_headers, now);
+            pool.give_back(server, self.connection, response_headers, now);
         }
         self.guard.close(outcome);
     }
 
     /// Ends an attempt whose answer was not read to its end: its connection closes.
-    pub(crate) fn break_off(self, outcome: AttemptOutcome) {
+    pub(crate) fn abort(self, outcome: AttemptOutcome) {
         self.guard.close(outcome);
     }
 }
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -32,7 +32,7 @@
 use crate::HeaderError;
 use crate::HeaderProtocol;
 use crate::Route;
-use crate::route_table::Identity;
+use crate::route_table::CallerIdentity;
 use crate::route_table::RouteTable;
 use crate::route_table::WorkspaceEntry;
 use crate::shared::Shared;
@@ -153,9 +153,9 @@
     }
     let route = find_route(routes, &parts)?;
     let workspace = match routes.identify(&route, head.key.as_deref()) {
-        Identity::Workspace(workspace) => Some(workspace),
-        Identity::Anonymous => None,
-        Identity::Unknown => return Err(ErrorKind::UnknownKey),
+        CallerIdentity::Workspace(workspace) => Some(workspace),
+        CallerIdentity::Anonymous => None,
+        CallerIdentity::Unknown => return Err(ErrorKind::UnknownKey),
     };
     let caller = workspace.as_ref().map(|workspace| workspace.hash);
     let fingerprint = fingerprint_of(caller, &parts, &body);
@@ -173,7 +173,7 @@
         regions,
         configuration_version: routes.version(),
         prompt: head.prompt,
-        uri: path_only(&parts.uri),
+        uri: origin_form(&parts.uri),
         method: parts.method,
         headers: parts.headers,
         body,
@@ -185,8 +185,8 @@
 }
 
 /// Returns the id that the caller sent, or a fresh one.
-fn request_id(sent: Option<HeaderValue>) -> HeaderValue {
-    sent.unwrap_or_else(|| {
+fn request_id(from_caller: Option<HeaderValue>) -> HeaderValue {
+    from_caller.unwrap_or_else(|| {
         let number: u64 = rand::rng().random();
         HeaderValue::from_str(&format!("{number:016x}")).unwrap_or(HeaderValue::from_static("0"))
     })
@@ -223,7 +223,7 @@
 }
 
 /// Returns the address without scheme and host, as an origin server gets it.
-fn path_only(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -23,8 +23,8 @@
 use super::attempt_guard::AttemptGuard;
 use super::attempt_guard::OpenAttempt;
 use super::call::Call;
-use super::server_notices::NoticedAnswer;
-use super::server_notices::take_notice;
+use super::server_notices::ServerResponseHead;
+use super::server_notices::process_notice;
 use crate::ForwardHead;
 use crate::HeaderProtocol;
 use crate::ResponseKind;
@@ -32,13 +32,13 @@
 use crate::shared::Shared;
 
 /// Time to connect to a backend server at most, in milliseconds.
-pub(super) const CONNECT_MS: u64 = 250;
+pub(super) const CONNECT_TIMEOUT_MS: u64 = 250;
 /// A connect that ends so long after its time, in milliseconds, failed because this thread is late: it says
 /// nothing of the server.
-const CONNECT_LATE_MS: u64 = 100;
+const CONNECT_OVERRUN_MAX_MS: u64 = 100;
 
 /// The head of an answer, with all that is needed to read on.
-pub(crate) struct Answering<H> {
+pub(crate) struct ResponseStart<H> {
     pub(crate) sent: Sent,
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
@@ -48,7 +48,7 @@
 /// What came of an attempt; it has ended, but for an answer.
 pub(crate) enum AttemptResult<H> {
     /// An answer began.
-    Answering(Box<Answering<H>>),
+    ResponseStarted(Box<ResponseStart<H>>),
     /// Nothing was written.
     NotSent(Unsent),
     /// The server said that it did not run the request.
@@ -79,23 +79,23 @@
     let deadline = || shared.clock.timer(call.deadline);
     let is_trusted = shared.dispatcher().may_reuse_connection(placement.server, now);
     // One that is not trusted is closed: the new one takes its place.
-    let kept = pool.take(placement.server, now).filter(|_| is_trusted);
-    let (request, unsent) = match kept {
+    let pooled = pool.take(placement.server, now).filter(|_| is_trusted);
+    let (request, unsent) = match pooled {
         Some(connection) => {
             guard.set_written(true);
             match exchange(connection, request, unsent, deadline()).await {
                 // An idle connection that the server has closed says nothing about the server.
                 Exchange::HandedBack(unsent, request) => (*request, unsent),
                 Exchange::Head(sent, response, connection) => {
-                    return read_head(shared, call, sent, *response, connection, guard);
+                    return handle_response(shared, call, sent, *response, connection, guard);
                 }
-                Exchange::Failed(sent, kind) => return fail(guard, sent, kind),
+                Exchange::Failed(sent, kind) => return fail_attempt(guard, sent, kind),
             }
         }
         None => (request, unsent),
     };
     guard.set_written(false);
-    let connection = match open(shared, call, &server).await {
+    let connection = match connect_for_call(shared, call, &server).await {
         Ok(connection) => connection,
         Err(outcome) => {
             guard.close(outcome);
@@ -116,19 +116,19 @@
             AttemptResult::NotSent(unsent)
         }
         Exchange::Head(sent, response, connection) => {
-            read_head(shared, call, sent, *response, connection, guard)
+            handle_response(shared, call, sent, *response, connection, guard)
         }
-        Exchange::Failed(sent, kind) => fail(guard, sent, kind),
+        Exchange::Failed(sent, kind) => fail_attempt(guard, sent, kind),
     }
 }
 
-fn fail<H>(guard: AttemptGuard<H>, sent: Sent, kind: ErrorKind) -> AttemptResult<H> {
-    guard.close(outcome_of(kind));
+fn fail_attempt<H>(guard: AttemptGuard<H>, sent: Sent, kind: ErrorKind) -> AttemptResult<H> {
+    guard.close(outcome_of_error(kind));
     AttemptResult::Failed(sent, kind)
 }
 
 /// Returns what an error after the sending says of the server.
-pub(super) fn outcome_of(kind: ErrorKind) -> AttemptOutcome {
+pub(super) fn outcome_of_error(kind: ErrorKind) -> AttemptOutcome {
     match kind {
         // A deadline of the caller's own says little of the server; overdue answers are judged apart.
         ErrorKind::DeadlineAfterSend => AttemptOutcome::Abandoned,
@@ -138,12 +138,12 @@
 }
 
 /// Connects to a server for a call; else returns what the failure says of it.
-async fn open<H>(
+async fn connect_for_call<H>(
     shared: &Shared<H>,
     call: &Call,
     server: &ServerView,
 ) -> Result<HttpConnection, AttemptOutcome> {
-    let limit_ms = CONNECT_MS.min(call.deadline.since_ms(shared.clock.now()));
+    let limit_ms = CONNECT_TIMEOUT_MS.min(call.deadline.since_ms(shared.clock.now()));
     connect(shared, server, limit_ms).await
 }
 
@@ -159,15 +159,15 @@
     shared.metrics.connects.with_label_values(&[outcome]).inc();
     let took_ms = shared.clock.now().since_ms(began_at);
     connection.map_err(|error| {
-        let is_late = took_ms > limit_ms + CONNECT_LATE_MS;
-        failed_connect(error.kind(), is_late, shared.overload.sheds_callers())
+        let is_late = took_ms > limit_ms + CONNECT_OVERRUN_MAX_MS;
+        outcome_of_connect_error(error.kind(), is_late, shared.overload.sheds_callers())
     })
 }
 
 /// Returns what a failed connect says of a server. An instance that is short of processor time would else take
 /// servers that are well for ended, and its peers would send them as little as to cold ones; and a server that has
 /// too many connections closes new ones although it runs.
-fn failed_connect(error: IoErrorKind, is_late: bool, sheds_callers: bool) -> AttemptOutcome {
+fn outcome_of_connect_error(error: IoErrorKind, is_late: bool, sheds_callers: bool) -> AttemptOutcome {
     match error {
         IoErrorKind::ConnectionRefused => AttemptOutcome::Down,
         IoErrorKind::TimedOut if is_late => AttemptOutcome::Abandoned,
@@ -177,7 +177,7 @@
 }
 
 /// Matches the answer to the request.
-fn read_head<H: HeaderProtocol>(
+fn handle_response<H: HeaderProtocol>(
     shared: &Shared<H>,
     call: &Call,
     sent: Sent,
@@ -186,19 +186,19 @@
     guard: AttemptGuard<H>,
 ) -> AttemptResult<H> {
     if let Some(server) = guard.server() {
-        let answer = NoticedAnswer {
+        let response_head = ServerResponseHead {
             server,
             status: response.status(),
             headers: response.headers(),
             request_id: &call.id,
         };
-        take_notice(shared, &answer);
+        process_notice(shared, &response_head);
     }
-    let head = shared
+    let kind = shared
         .protocol
         .classify(response.status(), response.headers(), &call.id);
-    match head {
-        ResponseKind::Mismatched => fail(guard, sent, ErrorKind::AnswerMismatched),
+    match kind {
+        ResponseKind::Mismatched => fail_attempt(guard, sent, ErrorKind::AnswerMismatched),
         ResponseKind::NotRun => {
             guard.close(AttemptOutcome::Rejected);
             // The server's word takes the place of never having sent.
@@ -206,7 +206,7 @@
         }
         ResponseKind::Ran => {
             let (head, body) = response.into_parts();
-            AttemptResult::Answering(Box::new(Answering {
+            AttemptResult::ResponseStarted(Box::new(ResponseStart {
                 sent,
                 head,
                 body,
--- a/crates/reedsail_router/src/traffic/fingerprint.rs
+++ b/crates/reedsail_router/src/traffic/fingerprint.rs
@@ -26,25 +26,25 @@
 }
 
 /// Returns what tells requests apart before their bodies, with the length of each part.
-fn address(parts: &Parts) -> Vec<u8> {
+fn request_target(parts: &Parts) -> Vec<u8> {
     let host = parts.headers.get(HOST).map_or(&[][..], |host| host.as_bytes());
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
-    let mut address = Vec::with_capacity(host.len() + path.len() + 32);
+    let mut request_target = Vec::with_capacity(host.len() + path.len() + 32);
     for field in [parts.method.as_str().as_bytes(), host, path.as_bytes()] {
-        address.extend_from_slice(&(field.len() as u64).to_le_bytes());
-        address.extend_from_slice(field);
+        request_target.extend_from_slice(&(field.len() as u64).to_le_bytes());
+        request_target.extend_from_slice(field);
     }
-    address
+    request_target
 }
 
 fn fast_hash(parts: &Parts, body: &[u8]) -> u128 {
-    let address = XxHash3_128::oneshot(&address(parts));
-    XxHash3_128::oneshot_with_seed(address as u64, body) ^ address
+    let target_hash = XxHash3_128::oneshot(&request_target(parts));
+    XxHash3_128::oneshot_with_seed(target_hash as u64, body) ^ target_hash
 }
 
 fn collision_resistant_hash(parts: &Parts, body: &[u8]) -> u128 {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&address(parts));
+    hasher.update(&request_target(parts));
     hasher.update(body);
     let mut first_half = [0; 16];
     hasher.finalize_xof().fill(&mut first_half);
--- a/crates/reedsail_router/src/traffic/forward.rs
+++ b/crates/reedsail_router/src/traffic/forward.rs
@@ -20,26 +20,26 @@
 use reedsail_net::remove_hop_headers;
 
 use super::Pool;
-use super::answer::AnswerBody;
-use super::answer::answer_from;
 use super::attempt_guard::AttemptGuard;
 use super::call::Call;
-use super::exchange::Answering;
 use super::exchange::AttemptResult;
+use super::exchange::ResponseStart;
 use super::exchange::attempt_once;
+use super::relay_buffered::BufferedResponse;
+use super::relay_buffered::relay_buffered;
 use super::relay_stream::StreamBody;
-use super::relay_whole::WholeAnswer;
-use super::relay_whole::relay_whole;
 use super::request_log::RequestLog;
 use super::request_log::RequestOutcome;
 use super::request_log::RetryCause;
+use super::response::ResponseBody;
+use super::response::build_response;
 use super::resume::ResumableBody;
 use crate::AnswerShape;
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
 /// An answer to the caller.
-type Answer<H> = Response<AnswerBody<H>>;
+type CallerResponse<H> = Response<ResponseBody<H>>;
 
 /// Brings a call to a server and its answer back.
 pub(crate) async fn forward<H: HeaderProtocol>(
@@ -47,7 +47,7 @@
     pool: &Arc<Pool>,
     call: Call,
     log: RequestLog<H>,
-) -> Result<Answer<H>, Failure> {
+) -> Result<CallerResponse<H>, Failure> {
     let now = shared.clock.now();
     shared
         .dispatcher()
@@ -59,7 +59,7 @@
         log,
         tried: Vec::new(),
         attempts_sent: 0,
-        result: ResultSoFar::Unsent(Unsent::new()),
+        result: AttemptsResult::Unsent(Unsent::new()),
     };
     while forwarding.tried.len() < ATTEMPTS_MAX {
         let placement = match forwarding.place() {
@@ -67,34 +67,34 @@
             Err(refusal) => return forwarding.give_up(refusal),
         };
         let (failure, cause) = match forwarding.attempt(&placement).await {
-            Attempted::Streaming(answering) => return Ok(forwarding.relay_stream(*answering)),
-            Attempted::Answered(answer) => return Ok(forwarding.answer(answer)),
-            Attempted::Failed(failure, cause) => (failure, cause),
+            ForwardStep::Streaming(response_start) => return Ok(forwarding.relay_stream(*response_start)),
+            ForwardStep::Answered(response) => return Ok(forwarding.respond(response)),
+            ForwardStep::Failed(failure, cause) => (failure, cause),
         };
         if !forwarding.may_retry(failure) {
             break;
         }
-        forwarding.log.retried(cause);
+        forwarding.log.record_retry(cause);
     }
     forwarding.give_up(Refusal::of(ErrorKind::NoBackend))
 }
 
 /// What the attempts so far have come to.
-enum ResultSoFar {
+enum AttemptsResult {
     /// None was run.
     Unsent(Unsent),
     /// One may have run.
     Sent(Sent, ErrorKind),
     /// One ran, and its server answered with a failure that can be passed on.
-    ServerFailure(WholeAnswer),
+    ServerFailure(BufferedResponse),
 }
 
 /// What came of one attempt.
-enum Attempted<H> {
+enum ForwardStep<H> {
     /// A stream began.
-    Streaming(Box<Answering<H>>),
+    Streaming(Box<ResponseStart<H>>),
     /// A whole answer came.
-    Answered(WholeAnswer),
+    Answered(BufferedResponse),
     /// It failed, in a way that the retry rule judges.
     Failed(AttemptFailure, RetryCause),
 }
@@ -127,7 +127,7 @@
     tried: Vec<ServerKey>,
     /// Attempts that may have run.
     attempts_sent: u32,
-    result: ResultSoFar,
+    result: AttemptsResult,
 }
 
 impl<H: HeaderProtocol> Forwarding<H> {
@@ -154,47 +154,47 @@
         }
     }
 
-    async fn attempt(&mut self, placement: &Placement) -> Attempted<H> {
-        self.log.placed(placement);
+    async fn attempt(&mut self, placement: &Placement) -> ForwardStep<H> {
+        self.log.record_placement(placement);
         let now = self.shared.clock.now();
         let demand = self.call.demand(&self.tried, &self.call.regions, now);
         let guard = AttemptGuard::begin(&self.shared, &demand, placement);
         self.tried.push(placement.server);
         match attempt_once(&self.shared, &self.pool, &self.call, placement, None, guard).await {
-            AttemptResult::Answering(answering) => self.take_answer(answering).await,
-            AttemptResult::NotSent(_) => Attempted::Failed(AttemptFailure::NotSent, RetryCause::NotSent),
-            AttemptResult::Rejected(_) => Attempted::Failed(AttemptFailure::Rejected, RetryCause::Rejected),
+            AttemptResult::ResponseStarted(response_start) => self.receive_response(response_start).await,
+            AttemptResult::NotSent(_) => ForwardStep::Failed(AttemptFailure::NotSent, RetryCause::NotSent),
+            AttemptResult::Rejected(_) => ForwardStep::Failed(AttemptFailure::Rejected, RetryCause::Rejected),
             AttemptResult::Failed(sent, kind) => {
-                self.result = ResultSoFar::Sent(sent, kind);
-                self.sent_and_failed(RetryCause::Failed(kind))
+                self.result = AttemptsResult::Sent(sent, kind);
+                self.fail_sent_attempt(RetryCause::Failed(kind))
             }
         }
     }
 
-    async fn take_answer(&mut self, answering: Box<Answering<H>>) -> Attempted<H> {
-        let wants_stream = matches!(self.call.route.answer, AnswerShape::Events { .. });
-        if wants_stream && answering.head.status.is_success() {
-            return Attempted::Streaming(answering);
+    async fn receive_response(&mut self, response_start: Box<ResponseStart<H>>) -> ForwardStep<H> {
+        let is_event_stream = matches!(self.call.route.answer, AnswerShape::Events { .. });
+        if is_event_stream && response_start.head.status.is_success() {
+            return ForwardStep::Streaming(response_start);
         }
-        match relay_whole(&self.shared, &self.pool, &self.call, *answering).await {
-            Ok(whole) if whole.is_failure() => {
-                self.result = ResultSoFar::ServerFailure(whole);
-                self.sent_and_failed(RetryCause::ServerFailure)
+        match relay_buffered(&self.shared, &self.pool, &self.call, *response_start).await {
+            Ok(response) if response.is_failure() => {
+                self.result = AttemptsResult::ServerFailure(response);
+                self.fail_sent_attempt(RetryCause::ServerFailure)
             }
-            Ok(whole) => Attempted::Answered(whole),
+            Ok(response) => ForwardStep::Answered(response),
             Err(failure) => {
-                self.result = ResultSoFar::Sent(Unsent::new().send(), failure.kind());
-                self.sent_and_failed(RetryCause::Failed(failure.kind()))
+                self.result = AttemptsResult::Sent(Unsent::new().send(), failure.kind());
+                self.fail_sent_attempt(RetryCause::Failed(failure.kind()))
             }
         }
     }
 
-    fn sent_and_failed(&mut self, cause: RetryCause) -> Attempted<H> {
+    fn fail_sent_attempt(&mut self, cause: RetryCause) -> ForwardStep<H> {
         self.attempts_sent += 1;
         let failure = AttemptFailure::MayHaveRun {
             attempts: self.attempts_sent,
         };
-        Attempted::Failed(failure, cause)
+        ForwardStep::Failed(failure, cause)
     }
 
     fn may_retry(&self, failure: AttemptFailure) -> bool {
@@ -208,42 +208,42 @@
         }
     }
 
-    fn answer(mut self, whole: WholeAnswer) -> Answer<H> {
-        self.log.record_event();
+    fn respond(mut self, response: BufferedResponse) -> CallerResponse<H> {
+        self.log.record_first_event();
         self.log.end(RequestOutcome::Answered);
-        whole_answer(whole)
+        buffered_response(response)
     }
 
-    fn relay_stream(self, answering: Answering<H>) -> Answer<H> {
-        let status = answering.head.status;
-        let mut headers = answering.head.headers.clone();
+    fn relay_stream(self, response_start: ResponseStart<H>) -> CallerResponse<H> {
+        let status = response_start.head.status;
+        let mut headers = response_start.head.headers.clone();
         remove_hop_headers(&mut headers);
         let body = if self.call.route.is_repeatable() {
-            AnswerBody::Resumable(ResumableBody::start(
+            ResponseBody::Resumable(ResumableBody::start(
                 &self.shared,
                 &self.pool,
                 self.call,
-                answering,
+                response_start,
                 self.tried,
                 self.log,
             ))
         } else {
-            let body = StreamBody::start(&self.shared, &self.pool, &self.call, answering, self.log);
-            AnswerBody::Stream(Box::new(body))
+            let body = StreamBody::start(&self.shared, &self.pool, &self.call, response_start, self.log);
+            ResponseBody::Stream(Box::new(body))
         };
-        answer_from(status, headers, body)
+        build_response(status, headers, body)
     }
 
     /// Ends the request with what the attempts have come to; the refusal counts if none was run.
-    fn give_up(mut self, refusal: Refusal) -> Result<Answer<H>, Failure> {
+    fn give_up(mut self, refusal: Refusal) -> Result<CallerResponse<H>, Failure> {
         let failure = match self.result {
-            ResultSoFar::ServerFailure(whole) => {
-                self.log.record_event();
-                self.log.end_with_failure(whole.status);
-                return Ok(whole_answer(whole));
+            AttemptsResult::ServerFailure(response) => {
+                self.log.record_first_event();
+                self.log.end_with_failure(response.status);
+                return Ok(buffered_response(response));
             }
-            ResultSoFar::Sent(sent, kind) => sent.fail(kind),
-            ResultSoFar::Unsent(unsent) => {
+            AttemptsResult::Sent(sent, kind) => sent.fail(kind),
+            AttemptsResult::Unsent(unsent) => {
                 let failure = unsent.refuse(refusal.kind);
                 match refusal.retry_after_ms {
                     Some(after_ms) => failure.with_retry_after_ms(after_ms),
@@ -251,12 +251,12 @@
                 }
             }
         };
-        self.log.refuse(&failure, refusal.placement.as_ref());
+        self.log.record_refusal(&failure, refusal.placement.as_ref());
         Err(failure)
     }
 }
 
-fn whole_answer<H>(whole: WholeAnswer) -> Answer<H> {
-    let body = AnswerBody::Whole(Full::new(whole.body));
-    answer_from(whole.status, whole.headers, body)
+fn buffered_response<H>(response: BufferedResponse) -> CallerResponse<H> {
+    let body = ResponseBody::Buffered(Full::new(response.body));
+    build_response(response.status, response.headers, body)
 }
--- a/crates/reedsail_router/src/traffic/mod.rs
+++ b/crates/reedsail_router/src/traffic/mod.rs
@@ -1,20 +1,20 @@
 //! The traffic thread: callers' requests, from the first byte to the last.
 //!
 //! In the order of a request: `thread` takes connections, `serve` one request, `call` reads and checks
-//! it (`fingerprint` tells its returns), `forward` places and attempts it, `exchange` makes one attempt, `relay_whole`, `relay_stream` or
+//! it (`fingerprint` tells its returns), `forward` places and attempts it, `exchange` makes one attempt, `relay_buffered`, `relay_stream` or
 //! `resume` brings the answer, `answer` is what the caller gets. Below all of them: `request_log`,
-//! `attempt_guard`, `server_notices`, `answer_broken`. `server_check` connects to servers where connections broke. Nothing imports upwards.
+//! `attempt_guard`, `server_notices`, `response_aborted`. `server_check` connects to servers where connections broke. Nothing imports upwards.
 
-mod answer;
-mod answer_broken;
 mod attempt_guard;
 mod call;
 mod exchange;
 mod fingerprint;
 mod forward;
+mod relay_buffered;
 mod relay_stream;
-mod relay_whole;
 mod request_log;
+mod response;
+mod response_aborted;
 mod resume;
 mod serve;
 mod server_check;
--- a/crates/reedsail_router/src/traffic/relay_whole.rs
+++ b/crates/reedsail_router/src/traffic/relay_buffered.rs
@@ -16,21 +16,21 @@
 
 use super::Pool;
 use super::call::Call;
-use super::exchange::Answering;
-use super::exchange::outcome_of;
+use super::exchange::ResponseStart;
+use super::exchange::outcome_of_error;
 use crate::shared::Shared;
 
 /// Size of an answer that is read whole at most, in bytes.
-const WHOLE_BYTES_MAX: usize = 16 << 20;
+const BUFFERED_BYTES_MAX: usize = 16 << 20;
 
 /// An answer that came whole.
-pub(crate) struct WholeAnswer {
+pub(crate) struct BufferedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedResponse {
     /// Tells whether the server failed, by its own word.
     pub(crate) fn is_failure(&self) -> bool {
         self.status.is_server_error()
@@ -38,23 +38,23 @@
 }
 
 /// Reads a whole answer, within the request's deadline.
-pub(crate) async fn relay_whole<H>(
+pub(crate) async fn relay_buffered<H>(
     shared: &Shared<H>,
     pool: &Pool,
     call: &Call,
-    answering: Answering<H>,
-) -> Result<WholeAnswer, Failure> {
-    let Answering {
+    response_start: ResponseStart<H>,
+) -> Result<BufferedResponse, Failure> {
+    let ResponseStart {
         sent,
         head,
         body,
         mut attempt,
-    } = answering;
+    } = response_start;
     attempt.guard.record_first_event();
-    let body = match read_whole(shared, call, body).await {
+    let body = match buffer_body(shared, call, body).await {
         Ok(body) => body,
         Err(kind) => {
-            attempt.break_off(outcome_of(kind));
+            attempt.abort(outcome_of_error(kind));
             return Err(sent.fail(kind));
         }
     };
@@ -67,22 +67,22 @@
     let mut headers = head.headers;
     remove_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    Ok(WholeAnswer {
+    Ok(BufferedResponse {
         status: head.status,
         headers,
         body,
     })
 }
 
-async fn read_whole<H>(shared: &Shared<H>, call: &Call, body: Incoming) -> Result<Bytes, ErrorKind> {
+async fn buffer_body<H>(shared: &Shared<H>, call: &Call, body: Incoming) -> Result<Bytes, ErrorKind> {
     let read = select! {
         biased;
-        read = Limited::new(body, WHOLE_BYTES_MAX).collect() => read,
+        read = Limited::new(body, BUFFERED_BYTES_MAX).collect() => read,
         () = shared.clock.timer(call.deadline) => return Err(ErrorKind::DeadlineAfterSend),
     };
     match read {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(ErrorKind::AnswerTooLarge),
-        Err(_broken) => Err(ErrorKind::AnswerIncomplete),
+        Err(_error) => Err(ErrorKind::AnswerIncomplete),
     }
 }
--- a/crates/reedsail_router/src/traffic/relay_stream.rs
+++ b/crates/reedsail_router/src/traffic/relay_stream.rs
@@ -18,12 +18,12 @@
 use reedsail_net::DeadlineTimer;
 
 use super::Pool;
-use super::answer_broken::AnswerBroken;
 use super::attempt_guard::OpenAttempt;
 use super::call::Call;
-use super::exchange::Answering;
+use super::exchange::ResponseStart;
 use super::request_log::RequestLog;
 use super::request_log::RequestOutcome;
+use super::response_aborted::ResponseAborted;
 use crate::shared::Shared;
 
 /// The body of a stream that is passed on as it comes; dropping it cancels the attempt.
@@ -31,11 +31,11 @@
 pub(crate) struct StreamBody<H> {
     pool: Arc<Pool>,
     body: Incoming,
-    answer_headers: HeaderMap,
+    response_headers: HeaderMap,
     /// Taken when the stream is over.
     attempt: Option<OpenAttempt<H>>,
     /// When the stream is cut, whether or not it is over.
-    cut_at: DeadlineTimer,
+    deadline: DeadlineTimer,
     clock: Clock,
     reader: SlowReaderWatch,
     log: RequestLog<H>,
@@ -47,15 +47,15 @@
         shared: &Shared<H>,
         pool: &Arc<Pool>,
         call: &Call,
-        answering: Answering<H>,
+        response_start: ResponseStart<H>,
         log: RequestLog<H>,
     ) -> Self {
         Self {
             pool: Arc::clone(pool),
-            body: answering.body,
-            answer_headers: answering.head.headers,
-            attempt: Some(answering.attempt),
-            cut_at: shared.clock.timer(call.deadline),
+            body: response_start.body,
+            response_headers: response_start.head.headers,
+            attempt: Some(response_start.attempt),
+            deadline: shared.clock.timer(call.deadline),
             clock: shared.clock,
             reader: SlowReaderWatch::default(),
             log,
@@ -67,10 +67,10 @@
     }
 
     /// Passes the next piece on.
-    pub(crate) fn poll_piece(
+    pub(crate) fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         self.reader.record_writable(self.clock.now());
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
@@ -78,7 +78,7 @@
                 if let Some(attempt) = &mut self.attempt {
                     attempt.guard.record_first_event();
                 }
-                self.log.record_event();
+                self.log.record_first_event();
                 if self.body.is_end_stream() {
                     self.finish();
                 }
@@ -88,37 +88,37 @@
                 self.finish();
                 Poll::Ready(None)
             }
-            Poll::Ready(Some(Err(_broken))) => {
+            Poll::Ready(Some(Err(_error))) => {
                 match self.reader.break_cause(self.clock.now()) {
                     BreakCause::Server => {
-                        self.break_off(AttemptOutcome::Broken, RequestOutcome::BackendBrokeOff);
+                        self.abort(AttemptOutcome::Broken, RequestOutcome::BackendBrokeOff);
                     }
                     BreakCause::CallerStalled => {
-                        self.break_off(AttemptOutcome::Abandoned, RequestOutcome::CallerStalled);
+                        self.abort(AttemptOutcome::Abandoned, RequestOutcome::CallerStalled);
                     }
                 }
-                Poll::Ready(Some(Err(AnswerBroken)))
+                Poll::Ready(Some(Err(ResponseAborted)))
             }
             Poll::Pending => {
-                if Pin::new(&mut self.cut_at).poll(context).is_pending() {
+                if Pin::new(&mut self.deadline).poll(context).is_pending() {
                     return Poll::Pending;
                 }
-                self.break_off(AttemptOutcome::Abandoned, RequestOutcome::Deadline);
-                Poll::Ready(Some(Err(AnswerBroken)))
+                self.abort(AttemptOutcome::Abandoned, RequestOutcome::Deadline);
+                Poll::Ready(Some(Err(ResponseAborted)))
             }
         }
     }
 
     fn finish(&mut self) {
         if let Some(attempt) = self.attempt.take() {
-            attempt.complete(&self.pool, &self.answer_headers, AttemptOutcome::Answered);
+            attempt.complete(&self.pool, &self.response_headers, AttemptOutcome::Answered);
             self.log.end(RequestOutcome::Answered);
         }
     }
 
-    fn break_off(&mut self, attempt_outcome: AttemptOutcome, outcome: RequestOutcome) {
+    fn abort(&mut self, attempt_outcome: AttemptOutcome, outcome: RequestOutcome) {
         if let Some(attempt) = self.attempt.take() {
-            attempt.break_off(attempt_outcome);
+            attempt.abort(attempt_outcome);
             self.log.end(outcome);
         }
     }
--- a/crates/reedsail_router/src/traffic/request_log.rs
+++ b/crates/reedsail_router/src/traffic/request_log.rs
@@ -19,7 +19,7 @@
 use crate::route_table::WorkspaceEntry;
 use crate::share_fields::share_fields;
 use crate::shared::Shared;
-use crate::workspace_tokens::TokensOf;
+use crate::workspace_tokens::TokenStage;
 
 /// How a request ended that was sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,7 +128,7 @@
             first_event_ms: None,
             has_ended: false,
         };
-        log.count_tokens(TokensOf::Requested);
+        log.count_tokens(TokenStage::Requested);
         log
     }
 
@@ -142,9 +142,9 @@
     }
 
     /// Logs where the request was placed, with what decided it.
-    pub(crate) fn placed(&mut self, placement: &Placement) {
+    pub(crate) fn record_placement(&mut self, placement: &Placement) {
         self.set_server(placement);
-        self.count_tokens(TokensOf::Sent);
+        self.count_tokens(TokenStage::Sent);
         if let Some(age_ms) = self.shared.load_age_ms() {
             let load_age = &self.shared.metrics.load_age;
             load_age
@@ -162,7 +162,7 @@
     }
 
     /// Logs and counts that the request is attempted again.
-    pub(crate) fn retried(&self, cause: RetryCause) {
+    pub(crate) fn record_retry(&self, cause: RetryCause) {
         let retries = &self.shared.metrics.retries;
         retries.with_label_values(&[cause.name()]).inc();
         self.emit(EventKind::RequestRepeated, || {
@@ -174,9 +174,9 @@
     }
 
     /// Logs that a stream goes on elsewhere, after the last event that the caller has.
-    pub(crate) fn resumed(&mut self, placement: &Placement, last_event: Option<&str>) {
+    pub(crate) fn record_resume(&mut self, placement: &Placement, last_event: Option<&str>) {
         self.set_server(placement);
-        self.count_tokens(TokensOf::Sent);
+        self.count_tokens(TokenStage::Sent);
         self.emit(EventKind::StreamResumed, || {
             vec![
                 ("server", self.server.clone()),
@@ -186,13 +186,13 @@
     }
 
     /// Records that a piece of the answer goes to the caller; the first one counts.
-    pub(crate) fn record_event(&mut self) {
+    pub(crate) fn record_first_event(&mut self) {
         if self.first_event_ms.is_some() {
             return;
         }
-        let first_event_ms = self.waited_ms();
+        let first_event_ms = self.elapsed_ms();
         self.first_event_ms = Some(first_event_ms);
-        self.count_tokens(TokensOf::Begun);
+        self.count_tokens(TokenStage::Begun);
         self.shared
             .metrics
             .first_event
@@ -201,17 +201,17 @@
     }
 
     /// Records that the request was refused before a server was chosen.
-    pub(crate) fn refuse_unplaced(self, failure: &Failure) {
-        self.end_refused(failure, |_| Vec::new());
+    pub(crate) fn record_unplaced_refusal(self, failure: &Failure) {
+        self.end_with_refusal(failure, |_| Vec::new());
     }
 
     /// Records that the request was refused, or failed with an answer of this instance's own; `placement` is
     /// where it would have gone when that was decided.
-    pub(crate) fn refuse(mut self, failure: &Failure, placement: Option<&Placement>) {
+    pub(crate) fn record_refusal(mut self, failure: &Failure, placement: Option<&Placement>) {
         if let Some(placement) = placement {
             self.set_server(placement);
         }
-        self.end_refused(failure, |log| {
+        self.end_with_refusal(failure, |log| {
             let expected_ms = ("expected_ms", "unknown".to_owned());
             let mut fields = placement.map_or(vec![expected_ms], |placement| log.placement_fields(placement));
             fields.extend(log.decision_fields());
@@ -219,17 +219,17 @@
         });
     }
 
-    fn end_refused(mut self, failure: &Failure, decided_by: impl FnOnce(&Self) -> Vec<Field>) {
+    fn end_with_refusal(mut self, failure: &Failure, extra_fields: impl FnOnce(&Self) -> Vec<Field>) {
         self.has_ended = true;
         let kind = failure.kind();
         let answers = &self.shared.metrics.answers;
         answers.with_label_values(&[kind.name()]).inc();
-        self.count_tokens(TokensOf::Refused);
+        self.count_tokens(TokenStage::Refused);
         self.emit(EventKind::RequestRefused, || {
             let mut fields = vec![
                 ("kind", kind.name().to_owned()),
                 ("ran", failure.ran().as_str().to_owned()),
-                ("waited_ms", self.waited_ms().to_string()),
+                ("waited_ms", self.elapsed_ms().to_string()),
             ];
             if let Some(after_ms) = failure.retry_after_ms() {
                 fields.push(("retry_after_ms", after_ms.to_string()));
@@ -237,7 +237,7 @@
             fields.extend(self.request_fields());
             fields.push(self.fingerprint_field());
             fields.push(("configuration", self.configuration_version.to_string()));
-            fields.extend(decided_by(&self));
+            fields.extend(extra_fields(&self));
             fields
         });
     }
@@ -267,7 +267,7 @@
             let mut fields = vec![
                 ("outcome", outcome.name().to_owned()),
                 ("first_part_ms", first_event_ms),
-                ("took_ms", self.waited_ms().to_string()),
+                ("took_ms", self.elapsed_ms().to_string()),
             ];
             fields.extend(self.request_fields());
             fields.extend(status);
@@ -327,9 +327,9 @@
             .map_or("none", |workspace| &workspace.name)
     }
 
-    fn count_tokens(&self, of: TokensOf) {
+    fn count_tokens(&self, stage: TokenStage) {
         let tokens = &self.shared.metrics.workspace_tokens;
-        tokens.add(self.workspace_name(), of, self.cost_tokens);
+        tokens.add(self.workspace_name(), stage, self.cost_tokens);
     }
 
     fn set_server(&mut self, placement: &Placement) {
@@ -338,7 +338,7 @@
         }
     }
 
-    fn waited_ms(&self) -> u64 {
+    fn elapsed_ms(&self) -> u64 {
         self.shared.clock.now().since_ms(self.arrived_at)
     }
 
--- a/crates/reedsail_router/src/traffic/answer.rs
+++ b/crates/reedsail_router/src/traffic/response.rs
@@ -17,47 +17,47 @@
 use hyper::header::RETRY_AFTER;
 use reedsail_core::Failure;
 
-use super::answer_broken::AnswerBroken;
 use super::relay_stream::StreamBody;
+use super::response_aborted::ResponseAborted;
 use super::resume::ResumableBody;
 use crate::HeaderProtocol;
 
 /// The body of an answer.
 #[derive(Debug)]
-pub(crate) enum AnswerBody<H> {
+pub(crate) enum ResponseBody<H> {
     /// Known whole.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on as it comes.
     Stream(Box<StreamBody<H>>),
     /// Passed on as it comes, and gone on with elsewhere when it breaks.
     Resumable(ResumableBody),
 }
 
-impl<H: HeaderProtocol> Body for AnswerBody<H> {
+impl<H: HeaderProtocol> Body for ResponseBody<H> {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
-            Self::Stream(body) => body.poll_piece(context),
-            Self::Resumable(body) => body.poll_piece(context),
+            Self::Buffered(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            Self::Stream(body) => body.poll_chunk(context),
+            Self::Resumable(body) => body.poll_chunk(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Stream(_) | Self::Resumable(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Stream(body) => body.size_hint(),
             Self::Resumable(_) => SizeHint::default(),
         }
@@ -65,11 +65,11 @@
 }
 
 /// Makes an answer with a backend server's status and headers.
-pub(crate) fn answer_from<H>(
+pub(crate) fn build_response<H>(
     status: StatusCode,
     headers: HeaderMap,
-    body: AnswerBody<H>,
-) -> Response<AnswerBody<H>> {
+    body: ResponseBody<H>,
+) -> Response<ResponseBody<H>> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -77,14 +77,14 @@
 }
 
 /// Makes the answer to a request that failed, as the closed table of error kinds has it.
-pub(crate) fn failure_answer<H: HeaderProtocol>(
+pub(crate) fn failure_response<H: HeaderProtocol>(
     protocol: &H,
     failure: &Failure,
     request_id: Option<&HeaderValue>,
-) -> Response<AnswerBody<H>> {
+) -> Response<ResponseBody<H>> {
     let kind = failure.kind();
     let text = format!("{}: {}\n", kind.name(), kind.message());
-    let mut response = Response::new(AnswerBody::Whole(Full::new(Bytes::from(text))));
+    let mut response = Response::new(ResponseBody::Buffered(Full::new(Bytes::from(text))));
     // Every kind has a valid status; a test of the table holds that.
     *response.status_mut() = StatusCode::from_u16(kind.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
--- a/crates/reedsail_router/src/traffic/answer_broken.rs
+++ b/crates/reedsail_router/src/traffic/response_aborted.rs
@@ -5,4 +5,4 @@
 /// The answer cannot be completed.
 #[derive(Debug, Error)]
 #[error("the backend server's answer broke off")]
-pub(crate) struct AnswerBroken;
+pub(crate) struct ResponseAborted;
--- a/crates/reedsail_router/src/traffic/resume.rs
+++ b/crates/reedsail_router/src/traffic/resume.rs
@@ -26,26 +26,26 @@
 use tokio::task::AbortHandle;
 
 use super::Pool;
-use super::answer_broken::AnswerBroken;
 use super::attempt_guard::AttemptGuard;
 use super::call::Call;
-use super::exchange::Answering;
 use super::exchange::AttemptResult;
+use super::exchange::ResponseStart;
 use super::exchange::attempt_once;
 use super::request_log::RequestLog;
 use super::request_log::RequestOutcome;
+use super::response_aborted::ResponseAborted;
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
 /// Pieces that wait for the caller at most; then the server's stream is read no further.
-const PIECES_MAX: usize = 32;
+const CHUNKS_MAX: usize = 32;
 /// Size of an event at most, in bytes.
 const EVENT_BYTES_MAX: usize = 1 << 20;
 
 /// The caller's end of a stream; dropping it cancels the attempt.
 #[derive(Debug)]
 pub(crate) struct ResumableBody {
-    pieces: mpsc::Receiver<Result<Bytes, AnswerBroken>>,
+    chunks: mpsc::Receiver<Result<Bytes, ResponseAborted>>,
     relay: AbortHandle,
 }
 
@@ -55,11 +55,11 @@
         shared: &Arc<Shared<H>>,
         pool: &Arc<Pool>,
         call: Call,
-        answering: Answering<H>,
+        response_start: ResponseStart<H>,
         tried: Vec<ServerKey>,
         log: RequestLog<H>,
     ) -> Self {
-        let (sender, pieces) = mpsc::channel(PIECES_MAX);
+        let (sender, chunks) = mpsc::channel(CHUNKS_MAX);
         let relay = ResumableRelay {
             shared: Arc::clone(shared),
             pool: Arc::clone(pool),
@@ -70,19 +70,19 @@
             last_event: None,
             log,
         };
-        let task = tokio::spawn(relay.run(answering));
+        let task = tokio::spawn(relay.run(response_start));
         Self {
-            pieces,
+            chunks,
             relay: task.abort_handle(),
         }
     }
 
     /// Passes the next piece on.
-    pub(crate) fn poll_piece(
+    pub(crate) fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
-        self.pieces
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
+        self.chunks
             .poll_recv(context)
             .map(|piece| piece.map(|piece| piece.map(Frame::data)))
     }
@@ -97,7 +97,7 @@
 /// How one server's answer to a stream ended.
 enum StreamEnd {
     /// The stream is whole.
-    Whole,
+    Complete,
     /// It broke off.
     Broken,
     /// It broke off since the caller had stopped reading.
@@ -114,23 +114,23 @@
     pool: Arc<Pool>,
     call: Call,
     tried: Vec<ServerKey>,
-    sender: mpsc::Sender<Result<Bytes, AnswerBroken>>,
+    sender: mpsc::Sender<Result<Bytes, ResponseAborted>>,
     splitter: EventSplitter,
     last_event: Option<String>,
     log: RequestLog<H>,
 }
 
 impl<H: HeaderProtocol> ResumableRelay<H> {
-    async fn run(mut self, mut answering: Answering<H>) {
+    async fn run(mut self, mut response_start: ResponseStart<H>) {
         for _ in 0..=RESUMES_MAX {
-            let Answering {
+            let ResponseStart {
                 head,
                 mut body,
                 mut attempt,
                 ..
-            } = answering;
-            match self.pass_on(&mut body, &mut attempt.guard).await {
-                StreamEnd::Whole => {
+            } = response_start;
+            match self.relay_events(&mut body, &mut attempt.guard).await {
+                StreamEnd::Complete => {
                     attempt.complete(&self.pool, &head.headers, AttemptOutcome::Answered);
                     self.log.end(RequestOutcome::Answered);
                     return;
@@ -141,25 +141,25 @@
                     break;
                 }
                 StreamEnd::CallerStalled => {
-                    attempt.break_off(AttemptOutcome::Abandoned);
+                    attempt.abort(AttemptOutcome::Abandoned);
                     self.log.end(RequestOutcome::CallerStalled);
                     break;
                 }
-                StreamEnd::Broken => attempt.break_off(AttemptOutcome::Broken),
+                StreamEnd::Broken => attempt.abort(AttemptOutcome::Broken),
             }
             drop(body);
-            let Some(next) = self.go_on_elsewhere().await else {
+            let Some(next) = self.resume_on_another_server().await else {
                 self.log.end(RequestOutcome::BackendBrokeOff);
                 break;
             };
-            answering = next;
+            response_start = next;
         }
         // A caller that has gone has no use for the error.
-        let _ = self.sender.send(Err(AnswerBroken)).await;
+        let _ = self.sender.send(Err(ResponseAborted)).await;
     }
 
     /// Passes whole events on until the server's answer ends.
-    async fn pass_on(&mut self, body: &mut Incoming, guard: &mut AttemptGuard<H>) -> StreamEnd {
+    async fn relay_events(&mut self, body: &mut Incoming, guard: &mut AttemptGuard<H>) -> StreamEnd {
         self.splitter.clear();
         let mut deadline = self.shared.clock.timer(self.call.deadline);
         let mut reader = SlowReaderWatch::default();
@@ -171,7 +171,7 @@
             };
             let frame = match frame {
                 Some(Ok(frame)) => frame,
-                None if self.splitter.partial_bytes() == 0 => return StreamEnd::Whole,
+                None if self.splitter.partial_bytes() == 0 => return StreamEnd::Complete,
                 None | Some(Err(_)) => {
                     return match reader.break_cause(self.shared.clock.now()) {
                         BreakCause::Server => StreamEnd::Broken,
@@ -181,14 +181,14 @@
             };
             let Ok(data) = frame.into_data() else { continue };
             guard.record_first_event();
-            let events = self.take_events(&data);
+            let events = self.split_events(&data);
             if self.splitter.partial_bytes() > EVENT_BYTES_MAX {
                 return StreamEnd::Broken;
             }
             if events.is_empty() {
                 continue;
             }
-            self.log.record_event();
+            self.log.record_first_event();
             reader.record_written(self.shared.clock.now());
             let sent = select! {
                 biased;
@@ -203,7 +203,7 @@
     }
 
     /// Returns the events that are whole by now, and remembers the id of the last one.
-    fn take_events(&mut self, data: &[u8]) -> Vec<u8> {
+    fn split_events(&mut self, data: &[u8]) -> Vec<u8> {
         let mut events = Vec::new();
         for event in self.splitter.push(data) {
             if let Some(id) = event_id(&event) {
@@ -215,7 +215,7 @@
     }
 
     /// Asks another server to go on after the last event that was passed on.
-    async fn go_on_elsewhere(&mut self) -> Option<Answering<H>> {
+    async fn resume_on_another_server(&mut self) -> Option<ResponseStart<H>> {
         let failure = AttemptFailure::StreamBroken {
             servers_tried: self.tried.len(),
         };
@@ -224,7 +224,7 @@
         }
         loop {
             let (placement, guard) = self.place()?;
-            self.log.resumed(&placement, self.last_event.as_deref());
+            self.log.record_resume(&placement, self.last_event.as_deref());
             self.tried.push(placement.server);
             let last_event = self.last_event.as_deref();
             let attempt = attempt_once(
@@ -236,10 +236,10 @@
                 guard,
             );
             match attempt.await {
-                AttemptResult::Answering(answering) if answering.head.status.is_success() => {
-                    return Some(*answering);
+                AttemptResult::ResponseStarted(response_start) if response_start.head.status.is_success() => {
+                    return Some(*response_start);
                 }
-                AttemptResult::Answering(_) | AttemptResult::Failed(..) => return None,
+                AttemptResult::ResponseStarted(_) | AttemptResult::Failed(..) => return None,
                 AttemptResult::NotSent(_) | AttemptResult::Rejected(_) => {}
             }
         }
--- a/crates/reedsail_router/src/traffic/serve.rs
+++ b/crates/reedsail_router/src/traffic/serve.rs
@@ -11,11 +11,11 @@
 use reedsail_core::Unsent;
 
 use super::Pool;
-use super::answer::AnswerBody;
-use super::answer::failure_answer;
 use super::call::read_call;
 use super::forward::forward;
 use super::request_log::RequestLog;
+use super::response::ResponseBody;
+use super::response::failure_response;
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
@@ -24,7 +24,7 @@
     shared: Arc<Shared<H>>,
     pool: Arc<Pool>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody<H>>, Infallible> {
+) -> Result<Response<ResponseBody<H>>, Infallible> {
     let arrived_at = shared.clock.now();
     let head = shared.protocol.read_call(request.headers());
     let request_id = head.as_ref().ok().and_then(|head| head.request_id.clone());
@@ -36,13 +36,13 @@
         }
         Err(kind) => {
             let failure = Unsent::new().refuse(kind);
-            log.refuse_unplaced(&failure);
+            log.record_unplaced_refusal(&failure);
             Err(failure)
         }
     };
     let mut response =
-        outcome.unwrap_or_else(|failure| failure_answer(&shared.protocol, &failure, request_id.as_ref()));
-    if shared.sheds_connection() {
+        outcome.unwrap_or_else(|failure| failure_response(&shared.protocol, &failure, request_id.as_ref()));
+    if shared.should_close_connection() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
--- a/crates/reedsail_router/src/traffic/server_check.rs
+++ b/crates/reedsail_router/src/traffic/server_check.rs
@@ -11,20 +11,20 @@
 use tokio::time::sleep;
 
 use super::Pool;
-use super::exchange::CONNECT_MS;
+use super::exchange::CONNECT_TIMEOUT_MS;
 use super::exchange::connect;
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
 /// Time from a break to the check, in milliseconds: all connections to a server that ends break together, and one
 /// check serves for all of them.
-const CHECK_AFTER_MS: u64 = 20;
+const CHECK_DELAY_MS: u64 = 20;
 
 /// Checks servers for as long as the instance runs.
 pub(crate) async fn check_servers<H: HeaderProtocol>(shared: Arc<Shared<H>>, pool: Arc<Pool>) {
     loop {
-        shared.connection_broke.notified().await;
-        sleep(Duration::from_millis(CHECK_AFTER_MS)).await;
+        shared.connection_failed.notified().await;
+        sleep(Duration::from_millis(CHECK_DELAY_MS)).await;
         let servers = shared.dispatcher().take_servers_to_check();
         for server in servers {
             tokio::spawn(check_server(Arc::clone(&shared), Arc::clone(&pool), server));
@@ -37,7 +37,7 @@
     let Some(server) = shared.servers.get(key) else {
         return;
     };
-    let outcome = connect(&shared, &server, CONNECT_MS).await;
+    let outcome = connect(&shared, &server, CONNECT_TIMEOUT_MS).await;
     let now = shared.clock.now();
     match outcome {
         Ok(connection) => {
--- a/crates/reedsail_router/src/traffic/server_notices.rs
+++ b/crates/reedsail_router/src/traffic/server_notices.rs
@@ -15,7 +15,7 @@
 
 /// The head of a server's answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct NoticedAnswer<'a> {
+pub(super) struct ServerResponseHead<'a> {
     pub(super) server: ServerKey,
     pub(super) status: StatusCode,
     pub(super) headers: &'a HeaderMap,
@@ -24,30 +24,30 @@
 }
 
 /// Takes in what an answer says of its server.
-pub(super) fn take_notice<H: HeaderProtocol>(shared: &Shared<H>, answer: &NoticedAnswer<'_>) {
-    let notice = shared.protocol.read_notice(answer.status, answer.headers);
+pub(super) fn process_notice<H: HeaderProtocol>(shared: &Shared<H>, response_head: &ServerResponseHead<'_>) {
+    let notice = shared.protocol.read_notice(response_head.status, response_head.headers);
     if notice.is_empty() {
         return;
     }
-    count(shared, notice);
-    let unknown = shared
+    count_notice(shared, notice);
+    let new_notice = shared
         .dispatcher()
-        .record_notice(answer.server, notice, shared.clock.now());
-    if unknown.is_draining {
+        .record_notice(response_head.server, notice, shared.clock.now());
+    if new_notice.is_draining {
         log_notice(
             shared,
-            answer,
+            response_head,
             EventKind::ServerDraining,
             ("origin", "answer".to_owned()),
         );
     }
-    if let Some(backoff_ms) = unknown.backoff_ms {
+    if let Some(backoff_ms) = new_notice.backoff_ms {
         let field = ("backoff_ms", backoff_ms.to_string());
-        log_notice(shared, answer, EventKind::ServerBackedOff, field);
+        log_notice(shared, response_head, EventKind::ServerBackedOff, field);
     }
 }
 
-fn count<H>(shared: &Shared<H>, notice: ServerNotice) {
+fn count_notice<H>(shared: &Shared<H>, notice: ServerNotice) {
     let notices = &shared.metrics.server_notices;
     if notice.is_draining {
         notices.with_label_values(&["drain"]).inc();
@@ -59,15 +59,15 @@
 
 fn log_notice<H>(
     shared: &Shared<H>,
-    answer: &NoticedAnswer<'_>,
+    response_head: &ServerResponseHead<'_>,
     kind: EventKind,
     field: (&'static str, String),
 ) {
     shared.emit_with(kind, || {
-        let view = shared.servers.get(answer.server);
+        let view = shared.servers.get(response_head.server);
         // A server that is listed no more has no id here, and a request id need not be text.
         let server = view.map(|view| view.id.to_string()).unwrap_or_default();
-        let request = answer.request_id.to_str().unwrap_or_default().to_owned();
+        let request = response_head.request_id.to_str().unwrap_or_default().to_owned();
         vec![("server", server), ("request", request), field]
     });
 }
--- a/crates/reedsail_router/src/traffic/thread.rs
+++ b/crates/reedsail_router/src/traffic/thread.rs
@@ -23,13 +23,13 @@
 use crate::shared::Shared;
 
 /// Idle connections to one server at most.
-const IDLE_MAX: usize = 32;
+const IDLE_CONNECTIONS_MAX: usize = 32;
 /// Interval at which idle connections that rested too long are closed, in milliseconds.
-const POOL_EVERY_MS: u64 = 2_000;
+const POOL_SWEEP_INTERVAL_MS: u64 = 2_000;
 /// Pause after a connection could not be taken, in milliseconds.
-const ACCEPT_PAUSE_MS: u64 = 10;
+const ACCEPT_RETRY_DELAY_MS: u64 = 10;
 /// Interval between two overload samples, in milliseconds.
-const SAMPLE_EVERY_MS: u64 = 100;
+const OVERLOAD_SAMPLE_INTERVAL_MS: u64 = 100;
 /// Least size of a connection's buffer, in bytes.
 const BUFFER_BYTES_MIN: usize = 16 << 10;
 
@@ -46,10 +46,10 @@
 pub(crate) async fn run_traffic<H: HeaderProtocol>(thread: TrafficThread<H>) -> std::io::Result<()> {
     let listener = TcpListener::from_std(thread.listener)?;
     let shared = thread.shared;
-    let pool = Arc::new(Pool::new(IDLE_MAX));
+    let pool = Arc::new(Pool::new(IDLE_CONNECTIONS_MAX));
     tokio::spawn(sample_overload(Arc::clone(&shared)));
     tokio::spawn(check_servers(Arc::clone(&shared), Arc::clone(&pool)));
-    tokio::spawn(tidy_pool(Arc::clone(&shared), Arc::clone(&pool)));
+    tokio::spawn(sweep_pool(Arc::clone(&shared), Arc::clone(&pool)));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -57,7 +57,7 @@
             }
             // Out of descriptors, most likely: connections that are open end by themselves, and those
             // that wait are taken then. A line for each try would fill the log.
-            Err(_) => sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await,
+            Err(_) => sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await,
         }
     }
 }
@@ -65,8 +65,8 @@
 /// Samples the overload for as long as the instance runs.
 async fn sample_overload<H>(shared: Arc<Shared<H>>) {
     loop {
-        let due_at = shared.clock.now().plus_ms(SAMPLE_EVERY_MS);
-        sleep(Duration::from_millis(SAMPLE_EVERY_MS)).await;
+        let due_at = shared.clock.now().plus_ms(OVERLOAD_SAMPLE_INTERVAL_MS);
+        sleep(Duration::from_millis(OVERLOAD_SAMPLE_INTERVAL_MS)).await;
         let now = shared.clock.now();
         let sample = OverloadSample {
             late_ms: now.since_ms(due_at),
@@ -83,9 +83,9 @@
     }
 }
 
-async fn tidy_pool<H: HeaderProtocol>(shared: Arc<Shared<H>>, pool: Arc<Pool>) {
+async fn sweep_pool<H: HeaderProtocol>(shared: Arc<Shared<H>>, pool: Arc<Pool>) {
     loop {
-        sleep(Duration::from_millis(POOL_EVERY_MS)).await;
+        sleep(Duration::from_millis(POOL_SWEEP_INTERVAL_MS)).await;
         pool.drop_old(|server| shared.servers.get(server).is_some(), shared.clock.now());
     }
 }
@@ -94,15 +94,15 @@
     let Ok(stream) = CountedStream::new(stream, ByteCounter::default()) else {
         return;
     };
-    let _open = OpenConnection::begin(&shared);
+    let _guard = OpenConnectionGuard::begin(&shared);
     let limits = shared.routes.load().configuration.limits;
     // The time runs from the last answer on, so it bounds how long a connection rests as well.
-    let head_ms = limits.idle_ms.max(limits.header_ms);
+    let header_timeout_ms = limits.idle_ms.max(limits.header_ms);
     let service = service_fn(|request| serve_request(Arc::clone(&shared), Arc::clone(&pool), request));
     // A connection that breaks shows at its requests, and their ends are logged.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(head_ms))
+        .header_read_timeout(Duration::from_millis(header_timeout_ms))
         .auto_date_header(false)
         .max_buf_size((limits.header_bytes_max * 2).max(BUFFER_BYTES_MIN))
         .serve_connection(TokioIo::new(stream), service)
@@ -110,16 +110,16 @@
 }
 
 /// Counts a caller's connection for as long as it is open.
-struct OpenConnection<H>(Arc<Shared<H>>);
+struct OpenConnectionGuard<H>(Arc<Shared<H>>);
 
-impl<H> OpenConnection<H> {
+impl<H> OpenConnectionGuard<H> {
     fn begin(shared: &Arc<Shared<H>>) -> Self {
         shared.connections.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(shared))
     }
 }
 
-impl<H> Drop for OpenConnection<H> {
+impl<H> Drop for OpenConnectionGuard<H> {
     fn drop(&mut self) {
         self.0.connections.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/reedsail_router/src/workspace_tokens.rs
+++ b/crates/reedsail_router/src/workspace_tokens.rs
@@ -11,13 +11,13 @@
 
 /// Workspaces with counters of their own, the first that come; the others are counted together. Four counters of
 /// each are some 40 kB of a metrics page.
-const NAMED_MAX: usize = 64;
+const NAMED_WORKSPACES_MAX: usize = 64;
 /// The label of the workspaces that are counted together.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 /// What became of the tokens of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TokensOf {
+pub(crate) enum TokenStage {
     /// A request that arrived.
     Requested,
     /// An attempt that was sent to a server.
@@ -28,7 +28,7 @@
     Refused,
 }
 
-impl TokensOf {
+impl TokenStage {
     /// Returns the value of the label.
     fn name(self) -> &'static str {
         match self {
@@ -57,24 +57,24 @@
     }
 
     /// Adds the tokens of one request.
-    pub(crate) fn add(&self, workspace: &str, of: TokensOf, tokens: u64) {
-        let label = if self.is_named(workspace) {
+    pub(crate) fn add(&self, workspace: &str, stage: TokenStage, tokens: u64) {
+        let label = if self.reserve_label(workspace) {
             workspace
         } else {
-            OTHER
+            OTHER_LABEL
         };
         self.counters
-            .with_label_values(&[label, of.name()])
+            .with_label_values(&[label, stage.name()])
             .inc_by(tokens);
     }
 
     /// Tells whether a workspace has counters of its own, and gives it some while there is room.
-    fn is_named(&self, workspace: &str) -> bool {
+    fn reserve_label(&self, workspace: &str) -> bool {
         let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         if named.contains(workspace) {
             return true;
         }
-        let has_room = named.len() < NAMED_MAX;
+        let has_room = named.len() < NAMED_WORKSPACES_MAX;
         if has_room {
             named.insert(workspace.to_owned());
         }
