--- a/crates/reedsail_router/src/admin.rs
+++ b/crates/reedsail_router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The pages for the balancer, for metrics, and for peers that fetch what they do not know yet.
+//! The admin pages: readiness for the load balancer, metrics, and the configuration and server list for peers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -22,16 +22,16 @@
 use crate::control::ListServers;
 use crate::shared::Shared;
 
-/// Where peers find the configuration in force.
+/// Path of the page with the configuration in force, for peers.
 pub(crate) const CONFIGURATION_PATH: &str = "/configuration";
-/// Where peers find the list of backend servers.
+/// Path of the page with the list of backend servers, for peers.
 pub(crate) const SERVERS_PATH: &str = "/servers";
-/// What the query of [`SERVERS_PATH`] begins with that asks for a difference; the digest follows in hexadecimals.
+/// Prefix of the query of [`SERVERS_PATH`] that requests only a difference. The digest follows in hexadecimal.
 pub(crate) const DIGEST_QUERY: &str = "digest=";
-/// Where metrics are served.
+/// Path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
 
-/// Serves the pages on one listener until the instance ends.
+/// Serves the admin pages on one listener until the instance ends.
 pub(crate) async fn serve_admin<H: HeaderProtocol>(
     listener: TcpListener,
     shared: Arc<Shared<H>>,
@@ -68,7 +68,7 @@
         match control.send(ListServers { differs_from }).await {
             Ok(Some(page)) => json_text_response(page),
             Ok(None) => empty_response(StatusCode::GONE),
-            // The actor ends only with the instance.
+            // The control actor ends only with the instance.
             Err(_) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     } else {
@@ -84,7 +84,7 @@
 }
 
 fn json_response(value: &impl Serialize) -> Response<Full<Bytes>> {
-    // No field of these pages can fail to be written; a fault of the code shows as a status.
+    // Every field of these pages serializes, so an error here is a bug. It shows as status 500.
     let Ok(text) = serde_json::to_vec(value) else {
         return empty_response(StatusCode::INTERNAL_SERVER_ERROR);
     };
@@ -99,7 +99,7 @@
     response
 }
 
-/// Returns the digest that a query names; one that cannot be read asks for the whole list.
+/// Returns the digest in a query. A query without a valid digest requests the complete list.
 fn parse_digest_query(query: &str) -> Option<u64> {
     let digest = query.strip_prefix(DIGEST_QUERY)?;
     u64::from_str_radix(digest, 16).ok()
--- a/crates/reedsail_router/src/header_values.rs
+++ b/crates/reedsail_router/src/header_values.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of header values that every header protocol needs.
+//! Parses and formats header values for every header protocol.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
@@ -9,10 +9,10 @@
 
 use crate::HeaderError;
 
-/// Reads a whole number, where the header is there.
+/// Reads a non-negative integer, or `None` if the header is absent.
 ///
 /// # Errors
-/// The header holds something else.
+/// The header is not a non-negative integer.
 pub fn read_number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderError> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -20,18 +20,18 @@
     let number = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     number.map(Some).ok_or(HeaderError {
         name,
-        expected: "it holds a whole number",
+        expected: "a non-negative integer",
     })
 }
 
-/// Reads a bearer key (RFC 6750).
+/// Reads a bearer token (RFC 6750).
 pub fn read_bearer(headers: &HeaderMap) -> Option<String> {
-    // A value that is not ASCII is no key.
+    // A value that is not ASCII is not a valid token.
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::to_owned)
 }
 
-/// Reads the segments of a prompt, where the header is there. A value that is not ASCII counts as none.
+/// Reads the segments of a prompt, or `None` if the header is absent. A value that is not ASCII has no segments.
 ///
 /// # Errors
 /// A segment is not `ID:TOKENS`.
@@ -43,7 +43,7 @@
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    // A value that is not ASCII has no segments that could be read.
+    // A value that is not ASCII counts as empty.
     let text = value.to_str().unwrap_or_default();
     let segments: Option<Vec<PromptSegment>> = text
         .split(',')
@@ -59,21 +59,21 @@
         })
         .ok_or(HeaderError {
             name,
-            expected: "it holds parts as ID:TOKENS, the ID in hexadecimal, split by commas",
+            expected: "segments of the form ID:TOKENS, the ID in hexadecimal, separated by commas",
         })
 }
 
 fn read_segment(text: &str) -> Option<PromptSegment> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(PromptSegment {
-        // A part that is no number makes the whole header unreadable, which the caller is told.
+        // An invalid number makes the whole header invalid, and the caller receives an error.
         id: u64::from_str_radix(id, 16).ok()?,
         tokens: tokens.parse().ok()?, // as above
     })
 }
 
-/// Reads after how many milliseconds a server wants to be asked again: a number of seconds, fractions allowed. The
-/// dates that RFC 9110 allows as well count as none.
+/// Reads the `retry-after` header in milliseconds. It must be a number of seconds, with an optional fraction. The dates
+/// that RFC 9110 also allows are ignored.
 pub fn read_retry_after_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(RETRY_AFTER)?;
     let seconds = value
@@ -81,20 +81,20 @@
         .ok()
         .and_then(|text| text.trim().parse::<f64>().ok());
     let Some(seconds) = seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0) else {
-        log::debug!("a server's retry-after {value:?} is no number of seconds, and counts as none");
+        log::debug!("ignoring retry-after {value:?} of a backend server: expected a number of seconds");
         return None;
     };
     Some((seconds * 1_000.0).ceil() as u64)
 }
 
-/// Formats a retry-after of some milliseconds as seconds with fractions.
+/// Formats a `retry-after` value as seconds with a fraction.
 pub fn format_retry_after(after_ms: u64) -> HeaderValue {
     let text = format!("{}.{:03}", after_ms / 1_000, after_ms % 1_000);
     HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("1"))
 }
 
-/// Inserts a text. One that no header may hold is left out: names that the store gives are ASCII, and a
-/// server that misses its own id refuses the request.
+/// Inserts a text value, and skips a value that is not a valid header value. Skipping is safe: names from the store are
+/// ASCII, and a server that doesn't find its own id in the request refuses it.
 pub fn insert_text(headers: &mut HeaderMap, name: &'static str, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
--- a/crates/reedsail_router/src/lib.rs
+++ b/crates/reedsail_router/src/lib.rs
@@ -1,9 +1,9 @@
-//! A router: takes callers' requests on routes that operators configure, and brings each to a
-//! backend server of the route's service.
+//! A request router: accepts callers' requests on the routes that operators configure, and forwards each to a backend
+//! server of the route's service.
 //!
-//! What differs between deployments stands behind small traits: where configuration and servers are
-//! learned ([`OperatorSource`], [`ServerSource`]) and the headers that callers and servers speak
-//! ([`HeaderProtocol`]). The decisions are those of `reedsail_dispatch`.
+//! Small traits cover what differs between deployments: the sources of the configuration and the server list
+//! ([`OperatorSource`], [`ServerSource`]), and the headers of callers and servers ([`HeaderProtocol`]).
+//! `reedsail_dispatch` makes the routing decisions.
 
 mod admin;
 mod configuration;
--- a/crates/reedsail_router/src/metrics.rs
+++ b/crates/reedsail_router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The router's metrics; docs/ROUTER.md describes each. Names are what operators read, and stay.
+//! The router's metrics. docs/ROUTER.md describes each. Operators depend on the names, so these don't change.
 
 use prometheus::Encoder;
 use prometheus::HistogramOpts;
@@ -13,7 +13,7 @@
 
 use crate::workspace_tokens::WorkspaceTokens;
 
-/// Upper ends of the latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS_S: &[f64] = &[
     0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0,
 ];
@@ -22,37 +22,37 @@
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests by outcome: `answered`, or the error kind.
+    /// Requests, by outcome: `answered`, another way in which a sent request ended, or the error kind.
     pub(crate) answers: IntCounterVec,
-    /// Time from a request's arrival to the first event of its answer, by service.
+    /// Time from a request's arrival to the first event of its response, by service.
     pub(crate) first_event: HistogramVec,
-    /// Age of what is known of other instances' load when a server is chosen, by service.
+    /// Age of the known load of other instances at the time a server is chosen, by service.
     pub(crate) load_age: HistogramVec,
     /// Retries, by cause.
     pub(crate) retries: IntCounterVec,
     /// Connections opened to backend servers, by outcome.
     pub(crate) connects: IntCounterVec,
-    /// Tokens of requests, by workspace and by what became of them.
+    /// Tokens of requests, by workspace and stage.
     pub(crate) workspace_tokens: WorkspaceTokens,
-    /// Reads of the store, by what was read and outcome.
+    /// Reads of the store, by target and outcome.
     pub(crate) store_reads: IntCounterVec,
-    /// Load messages to and from peers.
+    /// Load messages exchanged with peers, by direction.
     pub(crate) peer_messages: IntCounterVec,
-    /// Servers that ended while requests of this instance ran there.
+    /// Servers that ended while requests of this instance ran on them.
     pub(crate) server_ends: IntCounter,
-    /// Answers in which a server said something of itself, by what it said.
+    /// Notices (draining, back-off) in servers' responses, by kind.
     pub(crate) server_notices: IntCounterVec,
-    /// Servers that asked this instance for time that is not over.
+    /// Servers whose requested back-off towards this instance has not ended.
     pub(crate) servers_backed_off: IntGauge,
-    /// Requests that are not sent any more since servers end under them.
+    /// Quarantined requests, which are no longer sent because servers ended while they ran them.
     pub(crate) quarantined: IntGauge,
     /// Suspensions of the machine.
     pub(crate) suspensions: IntCounter,
-    /// Requests open now.
+    /// Currently open requests.
     pub(crate) open_requests: IntGauge,
     /// The version of the configuration in force.
     pub(crate) configuration_version: IntGauge,
-    /// Peers that are alive.
+    /// Number of live peers.
     pub(crate) peers_alive: IntGauge,
     pub(crate) store_era: IntGauge,
     pub(crate) records_withheld: IntGauge,
@@ -71,12 +71,12 @@
             first_event: latency_histograms(
                 &registry,
                 "reedsail_router_first_part_seconds",
-                "Time from a request's arrival to the first event of its answer.",
+                "Time from a request's arrival to the first event of its response.",
             ),
             load_age: latency_histograms(
                 &registry,
                 "reedsail_router_load_age_seconds",
-                "Age of what is known of other instances' load when a server is chosen.",
+                "Age of the known load of other instances at the time a server is chosen.",
             ),
             retries: counter_vec(&registry, "reedsail_router_repeats_total", "Retries.", &["cause"]),
             connects: counter_vec(
@@ -88,63 +88,63 @@
             workspace_tokens: WorkspaceTokens::new(counter_vec(
                 &registry,
                 "reedsail_router_workspace_tokens_total",
-                "Tokens of requests, by workspace and by what became of them.",
+                "Tokens of requests, by workspace and stage.",
                 &["workspace", "what"],
             )),
             store_reads: counter_vec(
                 &registry,
                 "reedsail_router_store_reads_total",
-                "Reads of the store, by what was read and outcome.",
+                "Reads of the store, by target and outcome.",
                 &["what", "outcome"],
             ),
             peer_messages: counter_vec(
                 &registry,
                 "reedsail_router_peer_messages_total",
-                "Load messages to and from peers.",
+                "Load messages exchanged with peers, by direction.",
                 &["direction"],
             ),
             server_ends: counter(
                 &registry,
                 "reedsail_router_server_ends_total",
-                "Backend servers that ended while requests of this instance ran there.",
+                "Backend servers that ended while requests of this instance ran on them.",
             ),
             server_notices: counter_vec(
                 &registry,
                 "reedsail_router_server_notices_total",
-                "Answers in which a backend server said that it drains, or asked this instance to send nothing for a while.",
+                "Responses in which a backend server announced that it drains or asked this instance to back off.",
                 &["notice"],
             ),
             servers_backed_off: gauge(
                 &registry,
                 "reedsail_router_servers_backed_off",
-                "Backend servers that asked this instance to send nothing for a while that is not over.",
+                "Backend servers whose requested back-off towards this instance has not ended.",
             ),
             quarantined: gauge(
                 &registry,
                 "reedsail_router_quarantined_requests",
-                "Requests that are not sent any more since servers end under them.",
+                "Quarantined requests, which are no longer sent because servers ended while they ran them.",
             ),
             suspensions: counter(
                 &registry,
                 "reedsail_router_suspensions_total",
-                "Suspensions of the machine since the process began.",
+                "Suspensions of the machine since the process started.",
             ),
-            open_requests: gauge(&registry, "reedsail_router_open_requests", "Requests open now."),
+            open_requests: gauge(&registry, "reedsail_router_open_requests", "Currently open requests."),
             configuration_version: gauge(
                 &registry,
                 "reedsail_router_configuration_version",
                 "The version of the configuration in force.",
             ),
-            peers_alive: gauge(&registry, "reedsail_router_peers_alive", "Peers that are alive."),
+            peers_alive: gauge(&registry, "reedsail_router_peers_alive", "Number of live peers."),
             store_era: gauge(
                 &registry,
                 "reedsail_router_store_era",
-                "Era of the store: grows by one each time that it comes back from an older copy.",
+                "Era of the store, which increases by one each time the store is restored from an older copy.",
             ),
             records_withheld: gauge(
                 &registry,
                 "reedsail_router_records_withheld",
-                "Records of the store's copy that do not count yet: departures and evacuations are known otherwise.",
+                "Records of a restored store that are ignored because newer departures or evacuations are known.",
             ),
             registry,
         }
@@ -153,14 +153,14 @@
     /// Writes all metrics in the text format of Prometheus.
     pub(crate) fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing into memory fails only for a metric without a name.
+        // Encoding into memory fails only for a metric without a name.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
 }
 
-/// Names, labels and buckets are constants of this file, so that none of these can fail once the tests
-/// have made them.
+/// Creates and registers a counter with labels. Names, labels and buckets are constants of this file, so this and the
+/// functions below cannot panic once the tests have created all metrics.
 fn counter_vec(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let counters = IntCounterVec::new(Opts::new(name, help), labels).expect("the name and labels are valid");
     register(registry, counters.clone());
--- a/crates/reedsail_router/src/protocol.rs
+++ b/crates/reedsail_router/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The headers that callers and backend servers exchange with the router.
 //!
-//! The adapter of a platform implements the trait; the tests have headers of their own.
+//! A platform's adapter implements [`HeaderProtocol`]. The tests implement it with their own headers.
 
 use std::net::SocketAddr;
 
@@ -14,23 +14,23 @@
 /// The head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallHead {
-    /// The caller's id of the request.
+    /// The request id that the caller chose.
     pub request_id: Option<HeaderValue>,
-    /// How long the caller waits, in milliseconds.
+    /// The time until the caller's deadline, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// The caller's key.
     pub key: Option<String>,
-    /// The prompt, where the request has one.
+    /// The prompt, if the request has one.
     pub prompt: Option<Prompt>,
 }
 
-/// A header that cannot be read.
+/// A header with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("header `{name}` cannot be read; {expected}")]
+#[error("invalid header `{name}`: expected {expected}")]
 pub struct HeaderError {
-    /// The header.
+    /// The name of the header.
     pub name: &'static str,
-    /// What it may hold.
+    /// The valid form of its value.
     pub expected: &'static str,
 }
 
@@ -39,22 +39,22 @@
 pub struct ForwardHead<'a> {
     /// The id of the request.
     pub request_id: &'a HeaderValue,
-    /// What is left of the caller's time, in milliseconds.
+    /// The time left until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// The id of the chosen server, which refuses the request if it is another one by now.
+    /// The id of the chosen server. A different server at the same address refuses the request.
     pub server_id: &'a str,
-    /// The workspace; `None` on a route without keys.
+    /// The workspace, or `None` on a route without keys.
     pub workspace: Option<&'a str>,
-    /// A server from which the chosen one is to transfer cached segments of the prompt.
+    /// A server from which the chosen one should copy cached segments of the prompt.
     pub cache_source: Option<SocketAddr>,
-    /// The last event that the caller has of a stream that is resumed.
+    /// The last event that the caller has received, if the request resumes a stream.
     pub resume_after: Option<&'a str>,
 }
 
-/// What the head of a server's answer means for the request.
+/// What the head of a server's response means for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It belongs to another request.
+    /// The response belongs to another request.
     Mismatched,
     /// The server did not run the request and never will.
     NotRun,
@@ -62,27 +62,27 @@
     Ran,
 }
 
-/// Reads and writes headers.
+/// Reads and writes the headers of one platform.
 pub trait HeaderProtocol: Clone + Send + Sync + 'static {
     /// Reads the head of a caller's request.
     ///
     /// # Errors
-    /// Names the header that cannot be read.
+    /// Returns the header with an invalid value.
     fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, HeaderError>;
 
-    /// Changes a caller's headers into those for a backend server.
+    /// Changes the caller's headers to those for a backend server.
     fn write_forward(&self, headers: &mut HeaderMap, forward: &ForwardHead<'_>);
 
-    /// Reads the head of the answer to the request with the given id.
+    /// Classifies the head of the response to the request with the given id.
     fn classify(&self, status: StatusCode, headers: &HeaderMap, request_id: &HeaderValue) -> ResponseKind;
 
-    /// Reads what the head of an answer says of the server that a request was sent to; nothing if another server
-    /// answered in its place.
+    /// Reads the notice of a server (draining, back-off) from the head of its response. The notice is empty if another
+    /// server responded in place of the one that the request was sent to.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> ServerNotice;
 
-    /// Writes the id of the request into an answer of the router's own.
+    /// Writes the id of the request into a response that the router itself generates.
     fn write_router_response(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>);
 
-    /// Formats a retry-after, given in milliseconds.
+    /// Formats a `retry-after` value from milliseconds.
     fn retry_after(&self, after_ms: u64) -> HeaderValue;
 }
--- a/crates/reedsail_router/src/route_table.rs
+++ b/crates/reedsail_router/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Look-ups over the configuration in force: built once for each version, never changed.
+//! Lookups in the configuration in force. A table is built once for each version and never changes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,35 +9,35 @@
 use crate::Configuration;
 use crate::Route;
 
-/// A workspace as requests need it.
+/// The name of a workspace and its hash.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WorkspaceEntry {
     pub(crate) name: String,
     pub(crate) hash: NameHash,
 }
 
-/// The workspace that a request counts against.
+/// The identity of a request's caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallerIdentity {
-    /// A workspace's key was sent.
+    /// The key belongs to this workspace.
     Workspace(Arc<WorkspaceEntry>),
     /// The route needs no key.
     Anonymous,
-    /// The key is missing, or nobody's.
+    /// The key is missing, or belongs to no workspace.
     Unknown,
 }
 
-/// Look-ups over one configuration.
+/// Lookup tables of one configuration.
 #[derive(Debug, Default)]
 pub(crate) struct RouteTable {
     pub(crate) configuration: Configuration,
-    /// Routes by host, the longest prefix first.
+    /// Routes by host, sorted by descending prefix length.
     by_host: HashMap<String, Vec<Arc<Route>>>,
     by_key: HashMap<String, Arc<WorkspaceEntry>>,
     by_hash: HashMap<NameHash, Arc<WorkspaceEntry>>,
-    /// The regions of the routes that name some, by the route's name.
+    /// Allowed regions by route name. Routes without a restriction are absent.
     regions_by_route: HashMap<String, AllowedRegions>,
-    /// The regions of the workspaces that name some.
+    /// Allowed regions by workspace. Workspaces without a restriction are absent.
     regions_by_workspace: HashMap<NameHash, AllowedRegions>,
 }
 
@@ -87,12 +87,12 @@
         self.by_hash.get(&hash).map(|workspace| workspace.name.as_str())
     }
 
-    /// Returns the version; zero while none is in force.
+    /// Returns the version of the configuration, or zero if none is in force.
     pub(crate) fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Finds the route of the host with the longest prefix of the path.
+    /// Returns the route of the host whose prefix is the longest that matches the path.
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self
@@ -102,8 +102,8 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns where requests of a route and a workspace may run. What this configuration does not have restricts
-    /// nothing.
+    /// Returns the regions where requests of a route and a workspace may run. A route or workspace that is absent from
+    /// this configuration adds no restriction.
     pub(crate) fn allowed_regions(&self, route: &Route, workspace: Option<NameHash>) -> AllowedRegions {
         let route_regions = self.regions_by_route.get(&route.name);
         let workspace_regions = workspace.and_then(|workspace| self.regions_by_workspace.get(&workspace));
@@ -111,12 +111,12 @@
         named.fold(AllowedRegions::Any, |regions, other| regions.intersection(other))
     }
 
-    /// Finds the workspace that has a key.
+    /// Returns the workspace that owns a key.
     pub(crate) fn workspace(&self, key: &str) -> Option<&Arc<WorkspaceEntry>> {
         self.by_key.get(key)
     }
 
-    /// Finds whom a request of the route counts against.
+    /// Returns the identity of a caller that sent this key on the route.
     pub(crate) fn identify(&self, route: &Route, key: Option<&str>) -> CallerIdentity {
         if let Some(workspace) = key.and_then(|key| self.workspace(key)) {
             return CallerIdentity::Workspace(Arc::clone(workspace));
@@ -128,7 +128,7 @@
     }
 }
 
-/// Collects the regions of those entries of a configuration that name some.
+/// Collects the allowed regions of the entries that restrict them.
 fn named_regions<'a, Entry: 'a, Key: Eq + std::hash::Hash>(
     entries: impl Iterator<Item = &'a Entry>,
     key_and_regions: impl Fn(&'a Entry) -> (Key, Option<&'a [String]>),
--- a/crates/reedsail_router/src/share_fields.rs
+++ b/crates/reedsail_router/src/share_fields.rs
@@ -1,9 +1,9 @@
-//! A workspace's share as log lines show it.
+//! Formats a workspace's share for log lines.
 
 use reedsail_dispatch::WorkspaceShare;
 
-/// Returns the fields of a share, in tokens within the fair-share window; the level is `none` where there is
-/// enough for all.
+/// Returns the log fields of a share, in tokens within the fair-share window. The level is `none` if the capacity is
+/// enough for all workspaces.
 pub(crate) fn share_fields(share: &WorkspaceShare) -> [(&'static str, String); 3] {
     let level = if share.level_cost.is_finite() {
         format_cost(share.level_cost)
--- a/crates/reedsail_router/src/shared.rs
+++ b/crates/reedsail_router/src/shared.rs
@@ -1,7 +1,7 @@
-//! State that all threads of a router share; each field has its own lock or none.
+//! State that all threads of a router share. Each field has its own lock or needs none.
 //!
-//! Owned by the control thread: `routes`, `servers`. By the traffic thread: `overload`, `connections`.
-//! Both ask the dispatcher, whose lock is held for microseconds.
+//! The control thread owns `routes` and `servers`, the traffic thread `overload` and `connections`. Both use the
+//! dispatcher, whose lock is held for microseconds.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -28,7 +28,7 @@
 use crate::route_table::RouteTable;
 use crate::server_views::ServerViews;
 
-/// The shared state.
+/// State shared by all threads.
 #[derive(Debug)]
 pub(crate) struct Shared<H> {
     pub(crate) settings: RouterSettings,
@@ -38,15 +38,16 @@
     pub(crate) metrics: Metrics,
     pub(crate) shutdown: Shutdown,
     pub(crate) overload: OverloadMonitor,
-    /// Callers' connections that are open.
+    /// The number of open connections from callers.
     pub(crate) connections: AtomicUsize,
     pub(crate) routes: ArcSwap<RouteTable>,
     pub(crate) servers: ServerViews,
-    /// Wakes the control thread when something is to be sent to peers at once.
+    /// Wakes the control thread to send a message to peers immediately.
     pub(crate) peer_send_requested: Notify,
-    /// Tells the traffic thread that a connection to a server broke, so that the server is checked.
+    /// Wakes the traffic thread to check a server after a connection to it broke.
     pub(crate) connection_failed: Notify,
-    /// The mean moment of what is known of other instances' load; zero while it comes from each directly.
+    /// The mean time at which the known load of other instances was measured. Zero while each instance reports its load
+    /// to this one directly.
     load_known_at: AtomicU64,
     dispatcher: Mutex<Dispatcher>,
 }
@@ -74,25 +75,25 @@
         }
     }
 
-    /// Sets the mean moment of what is known of other instances' load.
+    /// Sets the mean time at which the known load of other instances was measured.
     pub(crate) fn set_load_known_at(&self, known_at: Option<TimeMs>) {
         let known_at = known_at.map_or(0, |known_at| known_at.0.max(1));
         self.load_known_at.store(known_at, Ordering::Relaxed);
     }
 
-    /// Returns the mean age of what is known of other instances' load, in milliseconds; `None` while it
-    /// comes from each directly.
+    /// Returns the mean age of the known load of other instances, in milliseconds, or `None` while each instance
+    /// reports its load to this one directly.
     pub(crate) fn load_age_ms(&self) -> Option<u64> {
         let known_at = self.load_known_at.load(Ordering::Relaxed);
         (known_at > 0).then(|| self.clock.now().since_ms(TimeMs(known_at)))
     }
 
-    /// Locks the decisions. The lock is never held across an await.
+    /// Locks the dispatcher. The lock is never held across an await.
     pub(crate) fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reports an event.
+    /// Logs an event.
     pub(crate) fn emit(&self, kind: EventKind, fields: &[(&str, String)]) {
         let fields: Vec<(&str, &str)> = fields
             .iter()
@@ -101,7 +102,7 @@
         self.events.emit(kind, &fields);
     }
 
-    /// Reports an event whose fields are worked out only if it is not left out of the log.
+    /// Logs an event. The fields are computed only if the rate limit of the log doesn't drop it.
     pub(crate) fn emit_with(&self, kind: EventKind, fields: impl FnOnce() -> Vec<(&'static str, String)>) {
         self.events.emit_with(kind, || {
             let fields = fields().into_iter();
@@ -109,15 +110,15 @@
         });
     }
 
-    /// Tells whether a connection is to be closed after its next answer: while the instance stops, while
-    /// callers keep more of them than its memory allows, and for some of them while it sheds callers.
+    /// Returns whether a connection should close after its next response: always while the instance stops or has more
+    /// open connections than its memory allows, and for one in [`CLOSE_ONE_IN`] responses while it sheds callers.
     pub(crate) fn should_close_connection(&self) -> bool {
         self.shutdown.has_begun()
             || (self.overload.sheds_callers() && rand::rng().random_ratio(1, CLOSE_ONE_IN))
             || self.connections.load(Ordering::Relaxed) as u64 > self.settings.connections_max()
     }
 
-    /// Tells whether the balancer may send new connections.
+    /// Returns whether the load balancer may send new connections.
     pub(crate) fn is_ready(&self) -> bool {
         !self.shutdown.has_begun()
             && self.overload.is_ready(self.clock.now())
--- a/crates/reedsail_router/src/traffic/attempt_guard.rs
+++ b/crates/reedsail_router/src/traffic/attempt_guard.rs
@@ -1,4 +1,4 @@
-//! Guards that end an attempt when they are dropped, so that no attempt counts as load for ever.
+//! Guards that end an attempt when they are dropped, so that a finished attempt never counts as load.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::Pool;
 use crate::shared::Shared;
 
-/// An attempt on a backend server; dropping it counts as the caller's leaving.
+/// An attempt on a backend server. Dropping it ends the attempt as abandoned by the caller.
 #[derive(Debug)]
 pub(crate) struct AttemptGuard<H> {
     shared: Arc<Shared<H>>,
@@ -21,7 +21,7 @@
 }
 
 impl<H> AttemptGuard<H> {
-    /// Begins an attempt where the request was placed.
+    /// Begins an attempt on the server that was chosen for the request.
     pub(crate) fn begin(shared: &Arc<Shared<H>>, demand: &Demand<'_>, placement: &Placement) -> Self {
         let now = shared.clock.now();
         let attempt = shared.dispatcher().begin_attempt(demand, placement, now);
@@ -31,14 +31,14 @@
         }
     }
 
-    /// Records whether the server may have the request by now, or is known not to have it.
+    /// Records whether the server may have received the request (`true`) or certainly has not (`false`).
     pub(crate) fn set_written(&mut self, is_written: bool) {
         if let Some(attempt) = &mut self.attempt {
             attempt.set_written(is_written);
         }
     }
 
-    /// Records the first event of the answer; later calls do nothing.
+    /// Records the first event of the response. Later calls do nothing.
     pub(crate) fn record_first_event(&mut self) {
         if let Some(attempt) = &mut self.attempt {
             let now = self.shared.clock.now();
@@ -51,7 +51,7 @@
         self.end(outcome);
     }
 
-    /// Returns the server; `None` once the attempt has ended.
+    /// Returns the server, or `None` once the attempt has ended.
     pub(super) fn server(&self) -> Option<ServerKey> {
         self.attempt.as_ref().map(Attempt::server)
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// An attempt whose answer has begun, with the connection on which it comes.
+/// An attempt whose response has begun, with the connection that carries it.
 #[derive(Debug)]
 pub(crate) struct OpenAttempt<H> {
     pub(crate) guard: AttemptGuard<H>,
@@ -81,7 +81,7 @@
 }
 
 impl<H> OpenAttempt<H> {
-    /// Ends an attempt whose answer was read to its end: its connection may be used again.
+    /// Ends an attempt whose response was read completely, and returns its connection to the pool.
     pub(crate) fn complete(self, pool: &Pool, response_headers: &HeaderMap, outcome: AttemptOutcome) {
         if let Some(server) = self.guard.server() {
             let now = self.guard.shared.clock.now();
@@ -90,7 +90,7 @@
         self.guard.close(outcome);
     }
 
-    /// Ends an attempt whose answer was not read to its end: its connection closes.
+    /// Ends an attempt whose response was not read completely, and closes its connection.
     pub(crate) fn abort(self, outcome: AttemptOutcome) {
         self.guard.close(outcome);
     }
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a request: route, workspace, service, body, deadline. The result is ready to be placed.
+//! Reads and checks a request: route, workspace, service, body and deadline. The result is ready for placement.
 
 use std::sync::Arc;
 
@@ -37,10 +37,10 @@
 use crate::route_table::WorkspaceEntry;
 use crate::shared::Shared;
 
-/// Deadline of a caller that names none, in milliseconds from the arrival.
+/// Deadline of a request without a deadline header, in milliseconds after its arrival.
 const DEADLINE_DEFAULT_MS: u64 = 60_000;
 
-/// A request ready to be placed.
+/// A caller's request, ready for placement on a server.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: HeaderValue,
@@ -48,7 +48,7 @@
     pub(crate) service: NameHash,
     pub(crate) service_name: String,
     pub(crate) workspace: Option<Arc<WorkspaceEntry>>,
-    /// Where it may run by the configuration that it was read under.
+    /// The regions that the configuration allowed when the request was read.
     pub(crate) regions: AllowedRegions,
     pub(crate) configuration_version: u64,
     pub(crate) prompt: Option<Prompt>,
@@ -58,16 +58,16 @@
     pub(crate) body: Bytes,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) arrived_at: TimeMs,
-    /// The caller's deadline, or the end of the route's time-out if that comes first.
+    /// The caller's deadline or the end of the route's timeout, whichever comes first.
     pub(crate) deadline: TimeMs,
 }
 
 impl Call {
-    /// Returns where it may run now: by the configuration that it was read under and by the newest one, since an
-    /// attempt must not leave for a region that operators have taken out meanwhile.
+    /// Returns the regions where the request may run now: those that both the configuration at its arrival and the
+    /// newest configuration allow. An attempt must not go to a region that operators have removed since.
     ///
     /// # Errors
-    /// [`ErrorKind::NoAllowedRegion`] if that is nowhere.
+    /// [`ErrorKind::NoAllowedRegion`] if no region is left.
     pub(crate) fn allowed_regions(&self, newest: &RouteTable) -> Result<AllowedRegions, ErrorKind> {
         let workspace = self.workspace.as_ref().map(|workspace| workspace.hash);
         let regions = self.regions.intersection(&newest.allowed_regions(&self.route, workspace));
@@ -77,7 +77,7 @@
         Ok(regions)
     }
 
-    /// Returns what the decisions need to know.
+    /// Returns the input of the placement, admission and retry decisions.
     pub(crate) fn demand<'a>(
         &'a self,
         tried: &'a [ServerKey],
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the time left in milliseconds; `None` if an attempt is not worth it any more.
+    /// Returns the time left in milliseconds, or `None` if it is too short for an attempt.
     pub(crate) fn time_left_ms(&self, now: TimeMs) -> Option<u64> {
         time_left_ms(self.arrived_at, self.deadline, now)
     }
@@ -107,7 +107,7 @@
 
 /// Checks a request whose head was read, and reads its body.
 ///
-/// The body is read before the routes are looked at, so that the newest configuration decides.
+/// The route is looked up after the body was read, so that the newest configuration applies.
 pub(crate) async fn read_call<H: HeaderProtocol>(
     shared: &Shared<H>,
     request: Request<Incoming>,
@@ -130,7 +130,7 @@
     Ok(call)
 }
 
-/// Asks the overload rule.
+/// Rejects the request if this instance is overloaded.
 fn check_overload<H>(shared: &Shared<H>) -> Result<(), ErrorKind> {
     let open_requests = shared.metrics.open_requests.get() as u64;
     let open_requests_max = shared.settings.open_requests_max();
@@ -140,7 +140,7 @@
     Ok(())
 }
 
-/// Finds the route, the workspace and the service of a request.
+/// Determines the route, the workspace and the service of a request.
 fn route_call(
     routes: &RouteTable,
     mut parts: Parts,
@@ -184,7 +184,7 @@
     })
 }
 
-/// Returns the id that the caller sent, or a fresh one.
+/// Returns the id that the caller sent, or a random one.
 fn request_id(from_caller: Option<HeaderValue>) -> HeaderValue {
     from_caller.unwrap_or_else(|| {
         let number: u64 = rand::rng().random();
@@ -203,7 +203,7 @@
     route.map(Arc::clone).ok_or(ErrorKind::UnknownRoute)
 }
 
-/// Spreads requests over the route's services by weight.
+/// Returns a random service of the route, weighted by the targets' weights.
 fn choose_target(route: &Route) -> Option<String> {
     if let [only] = route.targets.as_slice() {
         return Some(only.service.clone());
@@ -222,7 +222,7 @@
     None
 }
 
-/// Returns the address without scheme and host, as an origin server gets it.
+/// Returns the path and query of a URI, the origin form of RFC 9112.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one backend server, up to the head of its answer.
+//! One attempt: sends a request to one backend server and reads the head of the response.
 
 use std::io::ErrorKind as IoErrorKind;
 use std::sync::Arc;
@@ -31,13 +31,13 @@
 use crate::server_views::ServerView;
 use crate::shared::Shared;
 
-/// Time to connect to a backend server at most, in milliseconds.
+/// Timeout of a connect to a backend server, in milliseconds.
 pub(super) const CONNECT_TIMEOUT_MS: u64 = 250;
-/// A connect that ends so long after its time, in milliseconds, failed because this thread is late: it says
-/// nothing of the server.
+/// Longest overrun of a connect timeout that still counts against the server, in milliseconds. A longer overrun
+/// means that this thread was late, and tells nothing about the server.
 const CONNECT_OVERRUN_MAX_MS: u64 = 100;
 
-/// The head of an answer, with all that is needed to read on.
+/// The head of a response, with everything needed to read its body.
 pub(crate) struct ResponseStart<H> {
     pub(crate) sent: Sent,
     pub(crate) head: Parts,
@@ -45,19 +45,19 @@
     pub(crate) attempt: OpenAttempt<H>,
 }
 
-/// What came of an attempt; it has ended, but for an answer.
+/// The result of an attempt. Except for `ResponseStarted`, the attempt has ended.
 pub(crate) enum AttemptResult<H> {
-    /// An answer began.
+    /// The head of a response arrived.
     ResponseStarted(Box<ResponseStart<H>>),
     /// Nothing was written.
     NotSent(Unsent),
-    /// The server said that it did not run the request.
+    /// The server responded that it did not run the request.
     Rejected(Unsent),
-    /// Something may have been written, and no answer came.
+    /// Some bytes may have been written, and no valid response arrived.
     Failed(Sent, ErrorKind),
 }
 
-/// Sends the call where it was placed, and waits for the head of the answer.
+/// Sends the request to the server of its placement and waits for the head of the response.
 pub(crate) async fn attempt_once<H: HeaderProtocol>(
     shared: &Arc<Shared<H>>,
     pool: &Pool,
@@ -78,13 +78,13 @@
     let now = shared.clock.now();
     let deadline = || shared.clock.timer(call.deadline);
     let is_trusted = shared.dispatcher().may_reuse_connection(placement.server, now);
-    // One that is not trusted is closed: the new one takes its place.
+    // A pooled connection that is not trusted closes here, and a new one replaces it.
     let pooled = pool.take(placement.server, now).filter(|_| is_trusted);
     let (request, unsent) = match pooled {
         Some(connection) => {
             guard.set_written(true);
             match exchange(connection, request, unsent, deadline()).await {
-                // An idle connection that the server has closed says nothing about the server.
+                // The server may close an idle connection at any time, so this is no evidence about its health.
                 Exchange::HandedBack(unsent, request) => (*request, unsent),
                 Exchange::Head(sent, response, connection) => {
                     return handle_response(shared, call, sent, *response, connection, guard);
@@ -102,7 +102,7 @@
             return AttemptResult::NotSent(unsent);
         }
     };
-    // An answer or a list may have said meanwhile that the server takes nothing more.
+    // During the connect, another response or a new server list may have ruled this server out.
     let now = shared.clock.now();
     if !shared.dispatcher().may_still_send_to(placement.server, now) {
         pool.give_back(placement.server, connection, &HeaderMap::new(), now);
@@ -127,17 +127,20 @@
     AttemptResult::Failed(sent, kind)
 }
 
-/// Returns what an error after the sending says of the server.
+/// Returns the outcome that an error after the send has for the server.
 pub(super) fn outcome_of_error(kind: ErrorKind) -> AttemptOutcome {
     match kind {
-        // A deadline of the caller's own says little of the server; overdue answers are judged apart.
+        // The caller's deadline tells little about the server. Overdue responses are judged separately.
         ErrorKind::DeadlineAfterSend => AttemptOutcome::Abandoned,
         ErrorKind::BackendFailed | ErrorKind::AnswerIncomplete => AttemptOutcome::Broken,
         _ => AttemptOutcome::Failed,
     }
 }
 
-/// Connects to a server for a call; else returns what the failure says of it.
+/// Connects to a server within the time left for a request.
+///
+/// # Errors
+/// The outcome that the failed connect has for the server.
 async fn connect_for_call<H>(
     shared: &Shared<H>,
     call: &Call,
@@ -147,7 +150,10 @@
     connect(shared, server, limit_ms).await
 }
 
-/// Connects to a server within some milliseconds; else returns what the failure says of it.
+/// Connects to a server within `limit_ms`.
+///
+/// # Errors
+/// The outcome that the failed connect has for the server.
 pub(super) async fn connect<H>(
     shared: &Shared<H>,
     server: &ServerView,
@@ -164,9 +170,11 @@
     })
 }
 
-/// Returns what a failed connect says of a server. An instance that is short of processor time would else take
-/// servers that are well for ended, and its peers would send them as little as to cold ones; and a server that has
-/// too many connections closes new ones although it runs.
+/// Returns the outcome that a failed connect has for the server.
+///
+/// A late or overloaded instance must not report a timeout as [`AttemptOutcome::Down`]: short of processor time, it
+/// would mark healthy servers as ended, and its peers would send them as little as cold servers. Other errors don't
+/// show that a server ended either, since a server with too many connections closes new ones while it runs.
 fn outcome_of_connect_error(error: IoErrorKind, is_late: bool, sheds_callers: bool) -> AttemptOutcome {
     match error {
         IoErrorKind::ConnectionRefused => AttemptOutcome::Down,
@@ -176,7 +184,7 @@
     }
 }
 
-/// Matches the answer to the request.
+/// Checks that a response belongs to the request, and records what it tells about the server.
 fn handle_response<H: HeaderProtocol>(
     shared: &Shared<H>,
     call: &Call,
@@ -201,7 +209,7 @@
         ResponseKind::Mismatched => fail_attempt(guard, sent, ErrorKind::AnswerMismatched),
         ResponseKind::NotRun => {
             guard.close(AttemptOutcome::Rejected);
-            // The server's word takes the place of never having sent.
+            // The server guarantees that the request did not run, so it counts as never sent.
             AttemptResult::Rejected(sent.into_unsent())
         }
         ResponseKind::Ran => {
--- a/crates/reedsail_router/src/traffic/fingerprint.rs
+++ b/crates/reedsail_router/src/traffic/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Makes the fingerprint of a request as it is read.
+//! Computes the fingerprint of a request. Retries by the caller have the same fingerprint.
 
 use hyper::header::HOST;
 use hyper::http::request::Parts;
@@ -6,16 +6,16 @@
 use reedsail_core::NameHash;
 use twox_hash::XxHash3_128;
 
-/// Bits of a fingerprint that follow from the request; those above are its workspace.
+/// Low bits of a fingerprint, a hash of the request. The bits above are its workspace.
 const REQUEST_BITS: u32 = 96;
 
-/// Returns the fingerprint over the caller's workspace, the address and the body; the request's id and deadline
-/// change with each return and are left out.
+/// Returns the fingerprint of the caller's workspace, the request target and the body. The request's id and deadline
+/// are left out, because they change with each retry by the caller.
 ///
-/// Its first 32 bits are the workspace, so no caller can make the fingerprint of another workspace's request, and
-/// within one workspace a fast hash will do. Callers without a workspace are told apart by nothing else: theirs is
-/// made with BLAKE3, or one could make a request that collides with another one's. BLAKE3 takes 13 us for 17,000
-/// bytes, XXH3 0.6 us (loops of 20,000).
+/// The first 32 bits are the workspace, so no caller can forge the fingerprint of another workspace's request, and a
+/// fast hash is enough within a workspace. All callers without a workspace share one value of these bits, so their
+/// requests are hashed with BLAKE3: with a weaker hash, one caller could craft a collision with another caller's
+/// request. BLAKE3 takes 13 us for 17,000 bytes, XXH3 0.6 us (loops of 20,000).
 pub(crate) fn fingerprint_of(workspace: Option<NameHash>, parts: &Parts, body: &[u8]) -> Fingerprint {
     let hashed = match workspace {
         Some(_) => fast_hash(parts, body),
@@ -25,7 +25,7 @@
     Fingerprint(u128::from(workspace.0) << REQUEST_BITS | hashed >> (u128::BITS - REQUEST_BITS))
 }
 
-/// Returns what tells requests apart before their bodies, with the length of each part.
+/// Encodes the method, the host and the path with the length of each.
 fn request_target(parts: &Parts) -> Vec<u8> {
     let host = parts.headers.get(HOST).map_or(&[][..], |host| host.as_bytes());
     let path = parts.uri.path_and_query().map_or("", |path| path.as_str());
--- a/crates/reedsail_router/src/traffic/forward.rs
+++ b/crates/reedsail_router/src/traffic/forward.rs
@@ -1,7 +1,7 @@
-//! Places a request, attempts it, and attempts it elsewhere where the retry rule allows.
+//! Places a request on a server, sends it, and retries it on other servers if the retry rule allows.
 //!
-//! Owns the state of a request's attempts. The rules are those of `reedsail_dispatch`: placement and
-//! admission decide where each attempt goes, retry decides whether there is another one.
+//! Owns the state of a request's attempts. `reedsail_dispatch` makes the decisions: placement and admission
+//! choose the server of each attempt, and the retry rule decides whether another attempt follows.
 
 use std::sync::Arc;
 
@@ -38,10 +38,10 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// An answer to the caller.
+/// A response to the caller.
 type CallerResponse<H> = Response<ResponseBody<H>>;
 
-/// Brings a call to a server and its answer back.
+/// Forwards a request to a server and returns the response for the caller.
 pub(crate) async fn forward<H: HeaderProtocol>(
     shared: &Arc<Shared<H>>,
     pool: &Arc<Pool>,
@@ -79,32 +79,32 @@
     forwarding.give_up(Refusal::of(ErrorKind::NoBackend))
 }
 
-/// What the attempts so far have come to.
+/// The combined result of the attempts so far.
 enum AttemptsResult {
-    /// None was run.
+    /// No attempt ran the request.
     Unsent(Unsent),
-    /// One may have run.
+    /// An attempt may have run the request.
     Sent(Sent, ErrorKind),
-    /// One ran, and its server answered with a failure that can be passed on.
+    /// A server ran the request and responded with a server error, which can be relayed.
     ServerFailure(BufferedResponse),
 }
 
-/// What came of one attempt.
+/// The result of one attempt, with its response body unless that is a stream.
 enum ForwardStep<H> {
-    /// A stream began.
+    /// A stream started.
     Streaming(Box<ResponseStart<H>>),
-    /// A whole answer came.
+    /// A complete response arrived.
     Answered(BufferedResponse),
-    /// It failed, in a way that the retry rule judges.
+    /// The attempt failed. The retry rule decides whether another one follows.
     Failed(AttemptFailure, RetryCause),
 }
 
-/// Why a request is not placed.
+/// Why no server was chosen for a request.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     kind: ErrorKind,
     retry_after_ms: Option<u64>,
-    /// Where it would have gone.
+    /// The placement that admission refused, if there was one.
     placement: Option<Placement>,
 }
 
@@ -118,14 +118,14 @@
     }
 }
 
-/// One request on its way through attempts.
+/// A request and the state of its attempts.
 struct Forwarding<H> {
     shared: Arc<Shared<H>>,
     pool: Arc<Pool>,
     call: Call,
     log: RequestLog<H>,
     tried: Vec<ServerKey>,
-    /// Attempts that may have run.
+    /// Attempts that may have run the request.
     attempts_sent: u32,
     result: AttemptsResult,
 }
@@ -234,7 +234,7 @@
         build_response(status, headers, body)
     }
 
-    /// Ends the request with what the attempts have come to; the refusal counts if none was run.
+    /// Ends the request with the result of its attempts, or with the refusal if no attempt ran it.
     fn give_up(mut self, refusal: Refusal) -> Result<CallerResponse<H>, Failure> {
         let failure = match self.result {
             AttemptsResult::ServerFailure(response) => {
--- a/crates/reedsail_router/src/traffic/mod.rs
+++ b/crates/reedsail_router/src/traffic/mod.rs
@@ -1,9 +1,11 @@
-//! The traffic thread: callers' requests, from the first byte to the last.
+//! The traffic thread: serves callers' requests from the first byte to the last.
 //!
-//! In the order of a request: `thread` takes connections, `serve` one request, `call` reads and checks
-//! it (`fingerprint` tells its returns), `forward` places and attempts it, `exchange` makes one attempt, `relay_buffered`, `relay_stream` or
-//! `resume` brings the answer, `answer` is what the caller gets. Below all of them: `request_log`,
-//! `attempt_guard`, `server_notices`, `response_aborted`. `server_check` connects to servers where connections broke. Nothing imports upwards.
+//! In the order of a request: `thread` accepts connections, `serve` handles one request, `call` reads and checks it
+//! (`fingerprint` identifies retries by the caller), `forward` places and retries it, `exchange` makes one attempt,
+//! `relay_buffered`, `relay_stream` or `resume` relays the response, and `response` builds what the caller receives.
+//! All of them use `request_log`, `attempt_guard`, `server_notices` and `response_aborted`. `server_check` connects
+//! to servers whose connections broke, with the connect of `exchange`. No module imports one that stands earlier in
+//! the order of a request.
 
 mod attempt_guard;
 mod call;
@@ -27,5 +29,5 @@
 pub(crate) use thread::TrafficThread;
 pub(crate) use thread::run_traffic;
 
-/// Connections under the server's key, since an address may come back with another server.
+/// Connections by server key, because another server may reuse an address.
 type Pool = ConnectionPool<ServerKey>;
--- a/crates/reedsail_router/src/traffic/relay_buffered.rs
+++ b/crates/reedsail_router/src/traffic/relay_buffered.rs
@@ -1,4 +1,4 @@
-//! Reads a whole answer before the caller gets any of it, so that the caller gets all of it or an error.
+//! Buffers a complete response before the caller receives any of it, so that the caller gets all of it or an error.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -20,10 +20,10 @@
 use super::exchange::outcome_of_error;
 use crate::shared::Shared;
 
-/// Size of an answer that is read whole at most, in bytes.
+/// Maximum size of a buffered response body, in bytes.
 const BUFFERED_BYTES_MAX: usize = 16 << 20;
 
-/// An answer that came whole.
+/// A complete response.
 pub(crate) struct BufferedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -31,13 +31,13 @@
 }
 
 impl BufferedResponse {
-    /// Tells whether the server failed, by its own word.
+    /// Returns whether the server responded with a server error.
     pub(crate) fn is_failure(&self) -> bool {
         self.status.is_server_error()
     }
 }
 
-/// Reads a whole answer, within the request's deadline.
+/// Reads a complete response within the request's deadline.
 pub(crate) async fn relay_buffered<H>(
     shared: &Shared<H>,
     pool: &Pool,
--- a/crates/reedsail_router/src/traffic/relay_stream.rs
+++ b/crates/reedsail_router/src/traffic/relay_stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on as it comes. One that breaks looks broken to the caller.
+//! Relays a stream as it arrives. If the stream breaks, the response to the caller is aborted.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -26,15 +26,15 @@
 use super::response_aborted::ResponseAborted;
 use crate::shared::Shared;
 
-/// The body of a stream that is passed on as it comes; dropping it cancels the attempt.
+/// The body of a relayed stream. Dropping it cancels the attempt.
 #[derive(Debug)]
 pub(crate) struct StreamBody<H> {
     pool: Arc<Pool>,
     body: Incoming,
     response_headers: HeaderMap,
-    /// Taken when the stream is over.
+    /// `None` once the stream has ended.
     attempt: Option<OpenAttempt<H>>,
-    /// When the stream is cut, whether or not it is over.
+    /// The time at which the stream is aborted if it has not ended.
     deadline: DeadlineTimer,
     clock: Clock,
     reader: SlowReaderWatch,
@@ -42,7 +42,7 @@
 }
 
 impl<H> StreamBody<H> {
-    /// Begins to pass a stream on.
+    /// Starts to relay a stream.
     pub(crate) fn start(
         shared: &Shared<H>,
         pool: &Arc<Pool>,
@@ -66,7 +66,7 @@
         self.body.size_hint()
     }
 
-    /// Passes the next piece on.
+    /// Relays the next chunk.
     pub(crate) fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/reedsail_router/src/traffic/request_log.rs
+++ b/crates/reedsail_router/src/traffic/request_log.rs
@@ -1,7 +1,7 @@
 //! The log lines and metrics of one request, from its arrival to its end.
 //!
-//! Owns the count of open requests: a request is open for as long as its log. Field names and outcome
-//! names are read by operators and stay as they are, whatever the code calls the same thing.
+//! Owns the count of open requests: a request is open while its `RequestLog` exists. Operators read the field names
+//! and outcome names, so these stay unchanged even where the code has another name for the same thing.
 
 use std::sync::Arc;
 
@@ -21,22 +21,22 @@
 use crate::shared::Shared;
 use crate::workspace_tokens::TokenStage;
 
-/// How a request ended that was sent to a server.
+/// How a request that was sent to a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// The caller got a whole answer.
+    /// The caller got a complete response.
     Answered,
-    /// The caller got a server's own failure.
+    /// The caller got a server error from a backend server.
     AnsweredWithFailure,
-    /// A stream broke off and could not go on elsewhere.
+    /// A stream broke and could not resume on another server.
     BackendBrokeOff,
-    /// The answer broke off since the caller had stopped reading.
+    /// The response broke because the caller had stopped reading.
     CallerStalled,
-    /// The caller went away before the end.
+    /// The caller disconnected before the end.
     CallerGone,
-    /// The caller's time was over, or the route's.
+    /// The caller's deadline or the route's timeout expired.
     Deadline,
-    /// The code that served it panicked.
+    /// The task that served the request panicked.
     Panicked,
 }
 
@@ -55,14 +55,14 @@
     }
 }
 
-/// Why a request is attempted again.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryCause {
     /// No byte of the last attempt was sent.
     NotSent,
-    /// The server did not run it.
+    /// The server did not run the request.
     Rejected,
-    /// The server answered with a failure of its own.
+    /// The server responded with a server error.
     ServerFailure,
     /// The attempt failed in another way.
     Failed(ErrorKind),
@@ -80,25 +80,25 @@
     }
 }
 
-/// A field of a line: its name, and its value as text.
+/// A field of a log line: its name and its value as text.
 type Field = (&'static str, String);
 
-/// Writes what is logged and counted of one request. Dropped before an end was recorded, it records that
-/// the caller went away.
+/// Writes the log lines and metrics of one request. If it is dropped before an end was recorded, it records that the
+/// caller disconnected, or that the task panicked.
 #[derive(Debug)]
 pub(crate) struct RequestLog<H> {
     shared: Arc<Shared<H>>,
     id: String,
     service: String,
-    /// By what its returns are known; zero until the request was read.
+    /// Identifies retries by the caller. Zero until the request was read.
     fingerprint: Fingerprint,
     workspace: Option<Arc<WorkspaceEntry>>,
     configuration_version: u64,
-    /// What it counts against its workspace, in tokens.
+    /// The request's cost for its workspace, in tokens.
     cost_tokens: u64,
-    /// Its route's target for the first event, in milliseconds; zero until the request was read.
+    /// The route's target for the time to the first event, in milliseconds. Zero until the request was read.
     latency_target_ms: u64,
-    /// The server that was tried last, or chosen when the request was refused.
+    /// The server of the last attempt, or the one chosen when the request was refused.
     server: String,
     arrived_at: TimeMs,
     first_event_ms: Option<u64>,
@@ -106,8 +106,8 @@
 }
 
 impl<H> RequestLog<H> {
-    /// Begins the log of a request as it arrives. What its head says of its workspace is taken at its word
-    /// until the request was read, so that one refused unread has a workspace as well.
+    /// Begins the log of a request on arrival. Until the request was read, the log takes the workspace from the key in
+    /// the request head, so that a request refused before that is logged with a workspace too.
     pub(crate) fn begin(shared: &Arc<Shared<H>>, head: Option<&CallHead>, arrived_at: TimeMs) -> Self {
         shared.metrics.open_requests.inc();
         let id = head.and_then(|head| head.request_id.as_ref());
@@ -132,7 +132,7 @@
         log
     }
 
-    /// Records what the request calls and whom it counts against, once it was read.
+    /// Records the service and the workspace of the request, once it was read.
     pub(crate) fn set_call(&mut self, call: &Call) {
         self.service.clone_from(&call.service_name);
         self.fingerprint = call.fingerprint;
@@ -141,7 +141,7 @@
         self.latency_target_ms = call.route.latency_target_ms;
     }
 
-    /// Logs where the request was placed, with what decided it.
+    /// Logs the server that was chosen for the request, with the inputs of the decision.
     pub(crate) fn record_placement(&mut self, placement: &Placement) {
         self.set_server(placement);
         self.count_tokens(TokenStage::Sent);
@@ -161,7 +161,7 @@
         });
     }
 
-    /// Logs and counts that the request is attempted again.
+    /// Logs and counts a retry.
     pub(crate) fn record_retry(&self, cause: RetryCause) {
         let retries = &self.shared.metrics.retries;
         retries.with_label_values(&[cause.name()]).inc();
@@ -173,7 +173,7 @@
         });
     }
 
-    /// Logs that a stream goes on elsewhere, after the last event that the caller has.
+    /// Logs that a stream resumes on another server, after the last event that the caller has received.
     pub(crate) fn record_resume(&mut self, placement: &Placement, last_event: Option<&str>) {
         self.set_server(placement);
         self.count_tokens(TokenStage::Sent);
@@ -185,7 +185,7 @@
         });
     }
 
-    /// Records that a piece of the answer goes to the caller; the first one counts.
+    /// Records the time to the first event of the response. Later calls do nothing.
     pub(crate) fn record_first_event(&mut self) {
         if self.first_event_ms.is_some() {
             return;
@@ -205,8 +205,8 @@
         self.end_with_refusal(failure, |_| Vec::new());
     }
 
-    /// Records that the request was refused, or failed with an answer of this instance's own; `placement` is
-    /// where it would have gone when that was decided.
+    /// Records that the request was refused, or that it failed and this instance itself responds to the caller.
+    /// `placement` is the one that was refused, if there was one.
     pub(crate) fn record_refusal(mut self, failure: &Failure, placement: Option<&Placement>) {
         if let Some(placement) = placement {
             self.set_server(placement);
@@ -242,13 +242,13 @@
         });
     }
 
-    /// Records that the caller gets a server's own failure.
+    /// Records that a backend server's error response goes to the caller.
     pub(crate) fn end_with_failure(&mut self, status: StatusCode) {
         let status = ("status", status.as_u16().to_string());
         self.end_with(RequestOutcome::AnsweredWithFailure, Some(status));
     }
 
-    /// Records how a request that was sent ended; later ends do not count.
+    /// Records how a request that was sent ended. Later calls do nothing.
     pub(crate) fn end(&mut self, outcome: RequestOutcome) {
         self.end_with(outcome, None);
     }
@@ -278,7 +278,7 @@
         });
     }
 
-    /// Returns what every end of a request says of it.
+    /// Returns the fields that describe the request.
     fn request_fields(&self) -> [Field; 5] {
         [
             ("service", self.service.clone()),
@@ -289,13 +289,13 @@
         ]
     }
 
-    /// Returns by what the request's returns are known. Lines of answered requests do without it, which
-    /// spares processor time.
+    /// Returns the field that identifies retries by the caller. Log lines of answered requests omit it to save
+    /// processor time.
     fn fingerprint_field(&self) -> Field {
         ("fingerprint", self.fingerprint.to_string())
     }
 
-    /// Returns what was expected of the server that was chosen.
+    /// Returns the expected latency and the load of the chosen server.
     fn placement_fields(&self, placement: &Placement) -> Vec<Field> {
         let (own, all) = self.shared.dispatcher().running(placement.server);
         vec![
@@ -306,7 +306,7 @@
         ]
     }
 
-    /// Returns what a decision knew of the workspace's share, and how old that was.
+    /// Returns the workspace's share at the time of the decision, and the age of the load data behind it.
     fn decision_fields(&self) -> Vec<Field> {
         let load_age_ms = self.shared.load_age_ms();
         let workspace = self.workspace.as_ref().map(|workspace| workspace.hash);
@@ -353,7 +353,7 @@
 
 impl<H> Drop for RequestLog<H> {
     fn drop(&mut self) {
-        // A panic ends the task of this request alone; without its own outcome it would look like a caller that left.
+        // A panic ends only the task of this request. Without its own outcome it would look like a disconnected caller.
         let outcome = if std::thread::panicking() {
             RequestOutcome::Panicked
         } else {
--- a/crates/reedsail_router/src/traffic/response.rs
+++ b/crates/reedsail_router/src/traffic/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: their bodies, and the answer to a request that failed.
+//! Responses to callers: the body types, and the response to a failed request.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -22,14 +22,14 @@
 use super::resume::ResumableBody;
 use crate::HeaderProtocol;
 
-/// The body of an answer.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub(crate) enum ResponseBody<H> {
-    /// Known whole.
+    /// The complete body in memory.
     Buffered(Full<Bytes>),
-    /// Passed on as it comes.
+    /// A stream that is relayed as it arrives.
     Stream(Box<StreamBody<H>>),
-    /// Passed on as it comes, and gone on with elsewhere when it breaks.
+    /// A stream that is relayed as it arrives and resumes on another server if it breaks.
     Resumable(ResumableBody),
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Makes an answer with a backend server's status and headers.
+/// Builds a response with a backend server's status and headers.
 pub(crate) fn build_response<H>(
     status: StatusCode,
     headers: HeaderMap,
@@ -76,7 +76,7 @@
     response
 }
 
-/// Makes the answer to a request that failed, as the closed table of error kinds has it.
+/// Builds the response to a failed request from the fixed table of error kinds.
 pub(crate) fn failure_response<H: HeaderProtocol>(
     protocol: &H,
     failure: &Failure,
@@ -85,7 +85,7 @@
     let kind = failure.kind();
     let text = format!("{}: {}\n", kind.name(), kind.message());
     let mut response = Response::new(ResponseBody::Buffered(Full::new(Bytes::from(text))));
-    // Every kind has a valid status; a test of the table holds that.
+    // Every kind has a valid status; a test checks the table.
     *response.status_mut() = StatusCode::from_u16(kind.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/crates/reedsail_router/src/traffic/response_aborted.rs
+++ b/crates/reedsail_router/src/traffic/response_aborted.rs
@@ -1,8 +1,8 @@
-//! The error that breaks an answer off, so that the caller sees that it is not whole.
+//! The error that aborts a response body, so that the caller sees that the response is incomplete.
 
 use thiserror::Error;
 
-/// The answer cannot be completed.
+/// The response cannot be completed.
 #[derive(Debug, Error)]
-#[error("the backend server's answer broke off")]
+#[error("the backend server's response ended early")]
 pub(crate) struct ResponseAborted;
--- a/crates/reedsail_router/src/traffic/resume.rs
+++ b/crates/reedsail_router/src/traffic/resume.rs
@@ -1,7 +1,7 @@
-//! Passes a stream on event by event, and goes on with it elsewhere when its server breaks off.
+//! Relays a stream event by event, and resumes it on another server if its server breaks it off.
 //!
-//! The retry rule and the budget are those of `reedsail_dispatch`. The stream runs in a task of its own,
-//! which ends with the caller's body.
+//! `reedsail_dispatch` provides the retry rule and the retry budget. Each stream has its own task, which ends when
+//! the caller's response body is dropped.
 
 use std::sync::Arc;
 use std::task::Context;
@@ -37,12 +37,12 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// Pieces that wait for the caller at most; then the server's stream is read no further.
+/// Maximum number of chunks that wait for the caller. While it is reached, the server's stream is not read.
 const CHUNKS_MAX: usize = 32;
-/// Size of an event at most, in bytes.
+/// Maximum size of an event, in bytes.
 const EVENT_BYTES_MAX: usize = 1 << 20;
 
-/// The caller's end of a stream; dropping it cancels the attempt.
+/// The response body of a resumable stream. Dropping it cancels the attempt.
 #[derive(Debug)]
 pub(crate) struct ResumableBody {
     chunks: mpsc::Receiver<Result<Bytes, ResponseAborted>>,
@@ -50,7 +50,7 @@
 }
 
 impl ResumableBody {
-    /// Begins to pass a stream on; `tried` are the servers that the request was sent to so far.
+    /// Starts to relay a stream. `tried` lists the servers that the request was sent to so far.
     pub(crate) fn start<H: HeaderProtocol>(
         shared: &Arc<Shared<H>>,
         pool: &Arc<Pool>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Passes the next piece on.
+    /// Relays the next chunk.
     pub(crate) fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
@@ -94,21 +94,21 @@
     }
 }
 
-/// How one server's answer to a stream ended.
+/// How one server's part of a stream ended.
 enum StreamEnd {
-    /// The stream is whole.
+    /// The stream is complete.
     Complete,
-    /// It broke off.
+    /// The server broke it off.
     Broken,
-    /// It broke off since the caller had stopped reading.
+    /// It broke because the caller had stopped reading.
     CallerStalled,
-    /// The caller's time is over.
+    /// The request's deadline expired.
     Deadline,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// A stream under way.
+/// The task state of a stream.
 struct ResumableRelay<H> {
     shared: Arc<Shared<H>>,
     pool: Arc<Pool>,
@@ -154,11 +154,11 @@
             };
             response_start = next;
         }
-        // A caller that has gone has no use for the error.
+        // If the caller has disconnected, nobody receives the error.
         let _ = self.sender.send(Err(ResponseAborted)).await;
     }
 
-    /// Passes whole events on until the server's answer ends.
+    /// Relays complete events until the server's response ends.
     async fn relay_events(&mut self, body: &mut Incoming, guard: &mut AttemptGuard<H>) -> StreamEnd {
         self.splitter.clear();
         let mut deadline = self.shared.clock.timer(self.call.deadline);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Returns the events that are whole by now, and remembers the id of the last one.
+    /// Returns the events that `data` completes, and stores the id of the last one.
     fn split_events(&mut self, data: &[u8]) -> Vec<u8> {
         let mut events = Vec::new();
         for event in self.splitter.push(data) {
@@ -214,7 +214,7 @@
         events
     }
 
-    /// Asks another server to go on after the last event that was passed on.
+    /// Asks another server to continue after the last relayed event.
     async fn resume_on_another_server(&mut self) -> Option<ResponseStart<H>> {
         let failure = AttemptFailure::StreamBroken {
             servers_tried: self.tried.len(),
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Chooses another server, if there is time, budget and one that takes the stream.
+    /// Chooses another server, if time and retry budget are left and a server accepts the stream.
     fn place(&self) -> Option<(Placement, AttemptGuard<H>)> {
         let now = self.shared.clock.now();
         self.call.time_left_ms(now)?;
@@ -253,7 +253,7 @@
             return None;
         }
         let newest = self.shared.routes.load();
-        // Without a region where it may run, the stream ends as one that no server can go on with.
+        // A stream without an allowed region ends like one that no server can resume.
         let regions = self.call.allowed_regions(&newest).ok()?;
         let demand = self.call.demand(&self.tried, &regions, now);
         let demand = demand.resumed(self.call.route.timeout_ms);
@@ -270,7 +270,7 @@
 
 /// Returns the id of an event (HTML Living Standard, 9.2).
 fn event_id(event: &[u8]) -> Option<String> {
-    // An event that is not UTF-8 has no id that a server could be asked to go on after.
+    // An event that is not UTF-8 has no id from which a server could resume.
     let text = std::str::from_utf8(event).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("id:"))?;
     Some(line.trim().to_owned())
--- a/crates/reedsail_router/src/traffic/serve.rs
+++ b/crates/reedsail_router/src/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its answer.
+//! Serves one request, from its head to the response.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// Serves one request; every failure becomes an answer.
+/// Serves one request. Every failure becomes an error response.
 pub(crate) async fn serve_request<H: HeaderProtocol>(
     shared: Arc<Shared<H>>,
     pool: Arc<Pool>,
--- a/crates/reedsail_router/src/traffic/server_check.rs
+++ b/crates/reedsail_router/src/traffic/server_check.rs
@@ -1,6 +1,6 @@
-//! Connects to servers at which connections broke, to find out whether they have ended.
+//! Connects to servers whose connections broke, to determine whether they have ended.
 //!
-//! Relies on the dispatcher for which servers those are. A connection that opens is kept for requests.
+//! The dispatcher provides the list of these servers. A connection that opens goes to the pool for later requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// Time from a break to the check, in milliseconds: all connections to a server that ends break together, and one
-/// check serves for all of them.
+/// Delay between a broken connection and the check, in milliseconds. All connections to a server break together when
+/// it ends, and one check covers all of them.
 const CHECK_DELAY_MS: u64 = 20;
 
-/// Checks servers for as long as the instance runs.
+/// Checks servers while the instance runs.
 pub(crate) async fn check_servers<H: HeaderProtocol>(shared: Arc<Shared<H>>, pool: Arc<Pool>) {
     loop {
         shared.connection_failed.notified().await;
@@ -33,7 +33,7 @@
 }
 
 async fn check_server<H: HeaderProtocol>(shared: Arc<Shared<H>>, pool: Arc<Pool>, key: ServerKey) {
-    // A server without a record has ended, which the dispatcher finds by itself.
+    // A server without a record has ended. The dispatcher detects that without a check.
     let Some(server) = shared.servers.get(key) else {
         return;
     };
@@ -45,7 +45,7 @@
             shared.dispatcher().record_check(key, true, now);
         }
         Err(AttemptOutcome::Down) => shared.dispatcher().record_check(key, false, now),
-        // This instance is late, or the server has too many connections: nothing was found out.
+        // This instance is late, or the server has too many connections: the result is inconclusive.
         Err(_) => {}
     }
 }
--- a/crates/reedsail_router/src/traffic/server_notices.rs
+++ b/crates/reedsail_router/src/traffic/server_notices.rs
@@ -1,7 +1,7 @@
-//! What servers say of themselves in their answers: counted, logged and handed to the decisions.
+//! Counts and logs the notices in servers' responses (draining, back-off), and passes them to the dispatcher.
 //!
-//! Each answer comes through here as soon as its head is read, whatever the request is waiting for: the first attempt,
-//! a retry, a stream that is resumed. Relies on the header protocol for what a head says.
+//! Every response is processed here as soon as its head is read: of a first attempt, of a retry, and of a resumed
+//! stream. The header protocol reads the notices from the head.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
@@ -13,17 +13,17 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// The head of a server's answer.
+/// The head of a server's response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerResponseHead<'a> {
     pub(super) server: ServerKey,
     pub(super) status: StatusCode,
     pub(super) headers: &'a HeaderMap,
-    /// The request that it came for, as log lines name it.
+    /// The id of the request, as log lines show it.
     pub(super) request_id: &'a HeaderValue,
 }
 
-/// Takes in what an answer says of its server.
+/// Records the notice about the server that a response carries, if there is one.
 pub(super) fn process_notice<H: HeaderProtocol>(shared: &Shared<H>, response_head: &ServerResponseHead<'_>) {
     let notice = shared.protocol.read_notice(response_head.status, response_head.headers);
     if notice.is_empty() {
@@ -65,7 +65,7 @@
 ) {
     shared.emit_with(kind, || {
         let view = shared.servers.get(response_head.server);
-        // A server that is listed no more has no id here, and a request id need not be text.
+        // A server that is no longer listed has no view and hence no id, and a request id may not be valid text.
         let server = view.map(|view| view.id.to_string()).unwrap_or_default();
         let request = response_head.request_id.to_str().unwrap_or_default().to_owned();
         vec![("server", server), ("request", request), field]
--- a/crates/reedsail_router/src/traffic/thread.rs
+++ b/crates/reedsail_router/src/traffic/thread.rs
@@ -1,4 +1,4 @@
-//! The traffic thread: takes callers' connections, tidies the pool, and measures its own overload.
+//! The traffic thread: accepts callers' connections, sweeps the connection pool, and measures its own overload.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -22,18 +22,18 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// Idle connections to one server at most.
+/// Maximum number of idle connections to one server.
 const IDLE_CONNECTIONS_MAX: usize = 32;
-/// Interval at which idle connections that rested too long are closed, in milliseconds.
+/// Interval between two sweeps of the pool, which close connections that were idle too long, in milliseconds.
 const POOL_SWEEP_INTERVAL_MS: u64 = 2_000;
-/// Pause after a connection could not be taken, in milliseconds.
+/// Delay before the next accept after a failed one, in milliseconds.
 const ACCEPT_RETRY_DELAY_MS: u64 = 10;
 /// Interval between two overload samples, in milliseconds.
 const OVERLOAD_SAMPLE_INTERVAL_MS: u64 = 100;
-/// Least size of a connection's buffer, in bytes.
+/// Minimum size of a connection's buffer, in bytes.
 const BUFFER_BYTES_MIN: usize = 16 << 10;
 
-/// What a traffic thread is given.
+/// The inputs of a traffic thread.
 pub(crate) struct TrafficThread<H> {
     pub(crate) shared: Arc<Shared<H>>,
     pub(crate) listener: std::net::TcpListener,
@@ -42,7 +42,7 @@
 /// Serves callers until the instance ends.
 ///
 /// # Errors
-/// The system's, when the listener cannot be used.
+/// Returns the error of the operating system if the listener cannot be used.
 pub(crate) async fn run_traffic<H: HeaderProtocol>(thread: TrafficThread<H>) -> std::io::Result<()> {
     let listener = TcpListener::from_std(thread.listener)?;
     let shared = thread.shared;
@@ -55,14 +55,14 @@
             Ok((stream, _)) => {
                 tokio::spawn(serve_connection(Arc::clone(&shared), Arc::clone(&pool), stream));
             }
-            // Out of descriptors, most likely: connections that are open end by themselves, and those
-            // that wait are taken then. A line for each try would fill the log.
+            // Most likely, the process is out of file descriptors. Open connections end in time, and the waiting
+            // ones are accepted then. One log line for each failed accept would flood the log.
             Err(_) => sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await,
         }
     }
 }
 
-/// Samples the overload for as long as the instance runs.
+/// Samples the overload while the instance runs.
 async fn sample_overload<H>(shared: Arc<Shared<H>>) {
     loop {
         let due_at = shared.clock.now().plus_ms(OVERLOAD_SAMPLE_INTERVAL_MS);
@@ -96,10 +96,10 @@
     };
     let _guard = OpenConnectionGuard::begin(&shared);
     let limits = shared.routes.load().configuration.limits;
-    // The time runs from the last answer on, so it bounds how long a connection rests as well.
+    // This timeout starts at the last response, so it also limits how long a connection is idle.
     let header_timeout_ms = limits.idle_ms.max(limits.header_ms);
     let service = service_fn(|request| serve_request(Arc::clone(&shared), Arc::clone(&pool), request));
-    // A connection that breaks shows at its requests, and their ends are logged.
+    // An error of the connection ends its requests, and the end of each request is logged.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(header_timeout_ms))
@@ -109,7 +109,7 @@
         .await;
 }
 
-/// Counts a caller's connection for as long as it is open.
+/// Counts a caller's connection while it is open.
 struct OpenConnectionGuard<H>(Arc<Shared<H>>);
 
 impl<H> OpenConnectionGuard<H> {
--- a/crates/reedsail_router/src/workspace_tokens.rs
+++ b/crates/reedsail_router/src/workspace_tokens.rs
@@ -1,7 +1,7 @@
-//! Counts tokens by workspace: what was requested, sent, begun and refused.
+//! Counts tokens by workspace: requested, sent, begun and refused.
 //!
-//! Owns the bound on how many workspaces have counters of their own, so that the metrics page of an instance
-//! before thousands of workspaces stays small. Relies on `request_log` for what to count.
+//! Limits how many workspaces have their own counters, so that the metrics page of an instance with thousands of
+//! workspaces stays small. `request_log` calls the counters.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -9,22 +9,22 @@
 
 use prometheus::IntCounterVec;
 
-/// Workspaces with counters of their own, the first that come; the others are counted together. Four counters of
-/// each are some 40 kB of a metrics page.
+/// Maximum number of workspaces with their own counters. The first ones to send a request get them, and the others are
+/// counted together. The four counters of all these workspaces take about 40 kB of a metrics page.
 const NAMED_WORKSPACES_MAX: usize = 64;
 /// The label of the workspaces that are counted together.
 const OTHER_LABEL: &str = "other";
 
-/// What became of the tokens of a request.
+/// The stage of a request at which its tokens are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TokenStage {
-    /// A request that arrived.
+    /// The request arrived.
     Requested,
-    /// An attempt that was sent to a server.
+    /// An attempt was sent to a server.
     Sent,
-    /// A request whose server has begun to answer.
+    /// A server began to respond.
     Begun,
-    /// A request that was refused.
+    /// The request was refused.
     Refused,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The counters of tokens.
+/// The token counters.
 #[derive(Debug)]
 pub(crate) struct WorkspaceTokens {
     counters: IntCounterVec,
@@ -48,7 +48,7 @@
 }
 
 impl WorkspaceTokens {
-    /// Counts with `counters`, whose labels are the workspace and what became of the tokens.
+    /// Wraps `counters`, whose labels are the workspace and the stage.
     pub(crate) fn new(counters: IntCounterVec) -> Self {
         Self {
             counters,
@@ -68,7 +68,7 @@
             .inc_by(tokens);
     }
 
-    /// Tells whether a workspace has counters of its own, and gives it some while there is room.
+    /// Returns whether a workspace has its own counters. Reserves them for a new workspace while there is room.
     fn reserve_label(&self, workspace: &str) -> bool {
         let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
         if named.contains(workspace) {
