--- a/crates/reedsail_router/src/traffic/attempt_guard.rs
+++ b/crates/reedsail_router/src/traffic/attempt_guard.rs
@@ -47,7 +47,7 @@
     }
 
     /// Ends the attempt with its outcome.
-    pub(crate) fn close(mut self, outcome: AttemptOutcome) {
+    pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
         self.end(outcome);
     }
 
@@ -87,11 +87,11 @@
             let now = self.guard.shared.clock.now();
             pool.give_back(server, self.connection, response_headers, now);
         }
-        self.guard.close(outcome);
+        self.guard.finish(outcome);
     }
 
     /// Ends an attempt whose response was not read completely, and closes its connection.
     pub(crate) fn abort(self, outcome: AttemptOutcome) {
-        self.guard.close(outcome);
+        self.guard.finish(outcome);
     }
 }
--- a/crates/reedsail_router/src/traffic/exchange.rs
+++ b/crates/reedsail_router/src/traffic/exchange.rs
@@ -68,11 +68,11 @@
 ) -> AttemptResult<H> {
     let unsent = Unsent::new();
     let Some(server) = shared.servers.get(placement.server) else {
-        guard.close(AttemptOutcome::Abandoned);
+        guard.finish(AttemptOutcome::Abandoned);
         return AttemptResult::NotSent(unsent);
     };
     let Some(request) = build_request(shared, call, placement, &server, resume_after) else {
-        guard.close(AttemptOutcome::Abandoned);
+        guard.finish(AttemptOutcome::Abandoned);
         return AttemptResult::NotSent(unsent);
     };
     let now = shared.clock.now();
@@ -98,21 +98,21 @@
     let connection = match connect_for_call(shared, call, &server).await {
         Ok(connection) => connection,
         Err(outcome) => {
-            guard.close(outcome);
+            guard.finish(outcome);
             return AttemptResult::NotSent(unsent);
         }
     };
-    // During the connect, another response or a new server list may have ruled this server out.
+    // During the connect, another response or a new server list may have excluded this server.
     let now = shared.clock.now();
     if !shared.dispatcher().may_still_send_to(placement.server, now) {
         pool.give_back(placement.server, connection, &HeaderMap::new(), now);
-        guard.close(AttemptOutcome::Abandoned);
+        guard.finish(AttemptOutcome::Abandoned);
         return AttemptResult::NotSent(unsent);
     }
     guard.set_written(true);
     match exchange(connection, request, unsent, deadline()).await {
         Exchange::HandedBack(unsent, _) => {
-            guard.close(AttemptOutcome::Unreachable);
+            guard.finish(AttemptOutcome::Unreachable);
             AttemptResult::NotSent(unsent)
         }
         Exchange::Head(sent, response, connection) => {
@@ -123,11 +123,11 @@
 }
 
 fn fail_attempt<H>(guard: AttemptGuard<H>, sent: Sent, kind: ErrorKind) -> AttemptResult<H> {
-    guard.close(outcome_of_error(kind));
+    guard.finish(outcome_of_error(kind));
     AttemptResult::Failed(sent, kind)
 }
 
-/// Returns the outcome that an error after the send has for the server.
+/// Returns the attempt outcome of an error that occurred after the request was sent.
 pub(super) fn outcome_of_error(kind: ErrorKind) -> AttemptOutcome {
     match kind {
         // The caller's deadline tells little about the server. Overdue responses are judged separately.
@@ -140,7 +140,7 @@
 /// Connects to a server within the time left for a request.
 ///
 /// # Errors
-/// The outcome that the failed connect has for the server.
+/// Returns the attempt outcome of a failed connect.
 async fn connect_for_call<H>(
     shared: &Shared<H>,
     call: &Call,
@@ -153,7 +153,7 @@
 /// Connects to a server within `limit_ms`.
 ///
 /// # Errors
-/// The outcome that the failed connect has for the server.
+/// Returns the attempt outcome of a failed connect.
 pub(super) async fn connect<H>(
     shared: &Shared<H>,
     server: &ServerView,
@@ -170,7 +170,7 @@
     })
 }
 
-/// Returns the outcome that a failed connect has for the server.
+/// Returns the attempt outcome of a failed connect.
 ///
 /// A late or overloaded instance must not report a timeout as [`AttemptOutcome::Down`]: short of processor time, it
 /// would mark healthy servers as ended, and its peers would send them as little as cold servers. Other errors don't
@@ -184,7 +184,7 @@
     }
 }
 
-/// Checks that a response belongs to the request, and records what it tells about the server.
+/// Checks that a response belongs to the request, and records the notice about the server that it carries.
 fn handle_response<H: HeaderProtocol>(
     shared: &Shared<H>,
     call: &Call,
@@ -208,7 +208,7 @@
     match kind {
         ResponseKind::Mismatched => fail_attempt(guard, sent, ErrorKind::AnswerMismatched),
         ResponseKind::NotRun => {
-            guard.close(AttemptOutcome::Rejected);
+            guard.finish(AttemptOutcome::Rejected);
             // The server guarantees that the request did not run, so it counts as never sent.
             AttemptResult::Rejected(sent.into_unsent())
         }
--- a/crates/reedsail_router/src/traffic/mod.rs
+++ b/crates/reedsail_router/src/traffic/mod.rs
@@ -3,9 +3,8 @@
 //! In the order of a request: `thread` accepts connections, `serve` handles one request, `call` reads and checks it
 //! (`fingerprint` identifies retries by the caller), `forward` places and retries it, `exchange` makes one attempt,
 //! `relay_buffered`, `relay_stream` or `resume` relays the response, and `response` builds what the caller receives.
-//! All of them use `request_log`, `attempt_guard`, `server_notices` and `response_aborted`. `server_check` connects
-//! to servers whose connections broke, with the connect of `exchange`. No module imports one that stands earlier in
-//! the order of a request.
+//! These modules share `request_log`, `attempt_guard`, `server_notices` and `response_aborted`. `server_check` connects
+//! to servers whose connections broke. The imports between the modules form no cycle.
 
 mod attempt_guard;
 mod call;
--- a/crates/reedsail_router/src/traffic/request_log.rs
+++ b/crates/reedsail_router/src/traffic/request_log.rs
@@ -174,13 +174,13 @@
     }
 
     /// Logs that a stream resumes on another server, after the last event that the caller has received.
-    pub(crate) fn record_resume(&mut self, placement: &Placement, last_event: Option<&str>) {
+    pub(crate) fn record_resume(&mut self, placement: &Placement, last_event_id: Option<&str>) {
         self.set_server(placement);
         self.count_tokens(TokenStage::Sent);
         self.emit(EventKind::StreamResumed, || {
             vec![
                 ("server", self.server.clone()),
-                ("after_event", last_event.unwrap_or("").to_owned()),
+                ("after_event", last_event_id.unwrap_or("").to_owned()),
             ]
         });
     }
--- a/crates/reedsail_router/src/traffic/resume.rs
+++ b/crates/reedsail_router/src/traffic/resume.rs
@@ -1,4 +1,4 @@
-//! Relays a stream event by event, and resumes it on another server if its server breaks it off.
+//! Relays a stream event by event, and resumes it on another server if the stream breaks.
 //!
 //! `reedsail_dispatch` provides the retry rule and the retry budget. Each stream has its own task, which ends when
 //! the caller's response body is dropped.
@@ -67,7 +67,7 @@
             tried,
             sender,
             splitter: EventSplitter::default(),
-            last_event: None,
+            last_event_id: None,
             log,
         };
         let task = tokio::spawn(relay.run(response_start));
@@ -84,7 +84,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         self.chunks
             .poll_recv(context)
-            .map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
 
@@ -98,7 +98,7 @@
 enum StreamEnd {
     /// The stream is complete.
     Complete,
-    /// The server broke it off.
+    /// The server's response broke or ended early.
     Broken,
     /// It broke because the caller had stopped reading.
     CallerStalled,
@@ -116,7 +116,7 @@
     tried: Vec<ServerKey>,
     sender: mpsc::Sender<Result<Bytes, ResponseAborted>>,
     splitter: EventSplitter,
-    last_event: Option<String>,
+    last_event_id: Option<String>,
     log: RequestLog<H>,
 }
 
@@ -207,7 +207,7 @@
         let mut events = Vec::new();
         for event in self.splitter.push(data) {
             if let Some(id) = event_id(&event) {
-                self.last_event = Some(id);
+                self.last_event_id = Some(id);
             }
             events.extend_from_slice(&event);
         }
@@ -224,15 +224,15 @@
         }
         loop {
             let (placement, guard) = self.place()?;
-            self.log.record_resume(&placement, self.last_event.as_deref());
+            self.log.record_resume(&placement, self.last_event_id.as_deref());
             self.tried.push(placement.server);
-            let last_event = self.last_event.as_deref();
+            let last_event_id = self.last_event_id.as_deref();
             let attempt = attempt_once(
                 &self.shared,
                 &self.pool,
                 &self.call,
                 &placement,
-                last_event,
+                last_event_id,
                 guard,
             );
             match attempt.await {
