--- a/crates/reedsail_dispatch/src/shutdown.rs
+++ b/crates/reedsail_dispatch/src/shutdown.rs
@@ -12,7 +12,7 @@
 //! incident (docs/incidents/01-rolling-restart.md). A request that could outlive the process would be cut
 //! off.
 //!
-//! **Tested by** `reedsail_router`'s `tests/beliefs.rs` (`late_in_a_stop…`, `a_planned_stop…`).
+//! **Tested by** `reedsail_router`'s `tests/control_state.rs` (`late_in_a_stop…`, `a_planned_stop…`).
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -15,7 +15,7 @@
 //! limits. While the store is unavailable, or rejects some instances, a failure domain of any size calls it a few
 //! times a second instead of once for each instance, and the first successful read updates all others.
 //!
-//! **Tested by** `tests/store_reader.rs`, `reedsail_router`'s `tests/beliefs.rs`
+//! **Tested by** `tests/store_reader.rs`, `reedsail_router`'s `tests/control_state.rs`
 //! (`a_daemon_that_the_store_turns_away…`).
 
 use reedsail_core::NameHash;
--- a/crates/reedsail_router/src/log_place.rs
+++ b/crates/reedsail_router/src/log_cursor.rs
@@ -9,13 +9,13 @@
 
 /// The place to read a topic from next, in the newest era that was seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LogPlace {
+pub struct LogCursor {
     era: u32,
     /// `None` until everything of the era was read once.
     next: Option<u64>,
 }
 
-impl LogPlace {
+impl LogCursor {
     /// Returns the newest era that was seen.
     pub fn era(&self) -> u32 {
         self.era
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// The answer is of an older era: it comes from before the store went back.
-    pub fn take_era(&mut self, era: u32) -> Result<bool, SourceError> {
+    pub fn observe_era(&mut self, era: u32) -> Result<bool, SourceError> {
         if era < self.era {
             let fault = format!("an answer of era {era} came after one of era {}", self.era);
             return Err(SourceError::Unreachable(fault));
--- a/crates/reedsail_router/src/program.rs
+++ b/crates/reedsail_router/src/program.rs
@@ -91,7 +91,7 @@
                 _ = interrupt.recv() => break,
                 _ = hangup.recv() => match read_file(&path, RouterSettings::read) {
                     Ok(settings) => router.reload(&settings).await,
-                    Err(error) => router.note_bad_settings(&format!("{error:#}")),
+                    Err(error) => router.report_invalid_settings(&format!("{error:#}")),
                 },
             }
         }
--- a/crates/reedsail_router/src/running.rs
+++ b/crates/reedsail_router/src/running.rs
@@ -149,7 +149,7 @@
     }
 
     /// Reports that the settings could not be read again; the old ones stay.
-    pub fn note_bad_settings(&self, fault: &str) {
+    pub fn report_invalid_settings(&self, fault: &str) {
         let fields = [("fault", fault.to_owned())];
         self.shared.emit(EventKind::SettingsReloaded, &fields);
     }
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -345,7 +345,7 @@
         id: "app-1".to_owned(),
     }]);
     wait_for_line(EventKind::ServerUnlisted, "hall-b-1").await;
-    router.note_bad_settings("they are torn");
+    router.report_invalid_settings("they are torn");
     router.reload(&settings("hall-b-1")).await;
     router.kill();
 }
