--- a/crates/reedsail_dispatch/src/store_reader.rs
+++ b/crates/reedsail_dispatch/src/store_reader.rs
@@ -16,7 +16,7 @@
 //! times a second instead of once for each instance, and the first successful read updates all others.
 //!
 //! **Tested by** `tests/store_reader.rs`, `reedsail_router`'s `tests/control_state.rs`
-//! (`a_daemon_that_the_store_turns_away…`).
+//! (`an_instance_that_the_store_rejects…`).
 
 use reedsail_core::NameHash;
 
--- a/crates/reedsail_router/tests/callers_gone.rs
+++ b/crates/reedsail_router/tests/callers_gone.rs
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_caller_left_within_its_body_reaches_no_server() {
+async fn a_request_whose_caller_disconnects_during_the_body_reaches_no_server() {
     let site = Site::start().await;
     let mut caller = TcpStream::connect(site.callers()).await.unwrap();
     let head = "POST /again/ HTTP/1.1\r\nhost: huts.example\r\nauthorization: Bearer key-1\r\n\
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_during_a_retry_ends_it() {
+async fn a_caller_that_disconnects_during_a_retry_cancels_it() {
     let site = Site::start().await;
     let second = site.add_server("app-2", "app").await;
     let script = [RoutedAnswer::NotRun, RoutedAnswer::Silent];
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_while_its_stream_goes_on_elsewhere_ends_that() {
+async fn a_caller_that_disconnects_after_its_stream_resumed_cancels_the_new_run() {
     let site = Site::start().await;
     site.llm.answer_with(&[STREAM]);
     let mut caller = Caller::connect(site.callers()).await;
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_with_an_answer_unread_ends_it() {
+async fn a_caller_that_disconnects_with_an_unread_answer_cancels_the_run() {
     let site = Site::start().await;
     site.llm.answer_with(&[RoutedAnswer::Flood {
         event_bytes: 1 << 16,
--- a/crates/reedsail_router/tests/control_state.rs
+++ b/crates/reedsail_router/tests/control_state.rs
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_in_force_on_open_connections_and_never_goes_back() {
+async fn a_configuration_applies_to_open_connections_and_never_goes_back() {
     let site = Site::start().await;
     let mut caller = Caller::connect(site.callers()).await;
     assert_eq!(caller.ask("/once/", &[]).await.status, StatusCode::OK);
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_gets_no_new_request_and_finishes_its_own() {
+async fn a_draining_server_gets_no_new_request_and_finishes_its_own() {
     let site = Site::start().await;
     let second = site.add_server("llm-2", "llm").await;
     let slow = RoutedAnswer::Stream {
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_the_store_turns_away_learns_from_its_peers() {
+async fn an_instance_that_the_store_rejects_learns_from_its_peers() {
     let site = Site::start().await;
     let away = Store::new(None, None);
     let mut settings = settings("hall-a-2");
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_finishes_what_was_read_and_closes_connections() {
+async fn a_planned_stop_finishes_accepted_requests_and_closes_connections() {
     let site = Site::start().await;
     let slow = RoutedAnswer::Stream {
         events: 150,
@@ -156,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn late_in_a_stop_only_requests_that_end_in_time_are_taken() {
+async fn late_in_a_stop_only_requests_that_end_in_time_are_accepted() {
     let site = Site::start_with(|settings| settings.stop.end_ms = 15_000).await;
     let endless = RoutedAnswer::Stream {
         events: 9,
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn a_router_on_any_port_finds_one_that_is_free_for_both_protocols() {
+async fn a_router_on_port_zero_finds_a_port_free_for_both_protocols() {
     // So many ports are taken for TCP that one of these starts would meet one of them.
     let taken: Vec<_> = (0..700)
         .map_while(|_| std::net::TcpListener::bind("127.0.0.1:0").ok())
@@ -198,7 +198,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_whose_list_is_not_known_any_more_is_told_so_and_gets_the_whole_one() {
+async fn a_peer_with_an_unknown_list_digest_gets_gone_and_fetches_the_whole_list() {
     let site = Site::start().await;
     let admin = site.router.addresses().admin;
     let unknown = ask(admin, "/servers?digest=00000000000000ff", &[]).await;
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn faults_of_settings_keep_their_texts() {
+fn settings_faults_keep_their_texts() {
     let bad = "\
 instance: 'a b'
 failure_domain: ''
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn the_pages_that_peers_fetch_keep_their_form() {
+async fn peer_pages_keep_their_format() {
     let site = Site::start().await;
     let peers = site.router.addresses().peers;
     let shown = ask(peers, "/configuration", &[]).await;
--- a/crates/reedsail_router/tests/quarantine.rs
+++ b/crates/reedsail_router/tests/quarantine.rs
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_request_under_which_three_servers_ended_is_refused_at_every_instance() {
+async fn a_request_that_ended_three_servers_is_refused_by_every_instance() {
     // A router without servers is not ready.
     let idle = RoutedStandin::start().await.unwrap();
     let draining = ServerRecord {
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn connections_that_break_while_the_server_goes_on_quarantine_nothing() {
+async fn broken_connections_to_a_running_server_quarantine_nothing() {
     let server = RoutedStandin::start().await.unwrap();
     server.answer_with(&[RoutedAnswer::Broken]);
     let store = Store::new(
--- a/crates/reedsail_router/tests/requests.rs
+++ b/crates/reedsail_router/tests/requests.rs
@@ -16,7 +16,7 @@
 use common::wait_for;
 
 #[tokio::test]
-async fn a_request_passes_unchanged_but_for_what_the_router_sets() {
+async fn a_request_is_forwarded_unchanged_except_for_router_headers() {
     let site = Site::start().await;
     let headers = [
         ("x-own", "kept"),
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_route_without_keys_takes_any_request() {
+async fn an_anonymous_route_accepts_any_request() {
     let site = Site::start().await;
     let reply = ask(site.callers(), "/open/x", &[("authorization", "Bearer nobody")]).await;
     assert_eq!(reply.status, StatusCode::OK);
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_servers_own_failure_is_passed_on_as_it_is() {
+async fn a_server_error_is_relayed_unchanged() {
     let site = Site::start().await;
     let failure = RoutedAnswer::Whole {
         status: 500,
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_run_again_finds_a_server_that_answers() {
+async fn a_repeatable_request_is_retried_on_another_server() {
     let site = Site::start().await;
     let second = site.add_server("app-2", "app").await;
     let whole = RoutedAnswer::Whole {
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_did_not_run_a_request_is_no_reason_to_fail_it() {
+async fn a_request_that_a_server_did_not_run_is_sent_to_another() {
     let site = Site::start().await;
     let second = site.add_server("app-2", "app").await;
     site.app.answer_with(&[RoutedAnswer::NotRun]);
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_is_not_there_is_passed_over() {
+async fn an_unreachable_server_is_skipped() {
     let site = Site::start().await;
     let second = site.add_server("app-2", "app").await;
     second.close();
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn the_routes_time_out_has_its_own_answer() {
+async fn a_route_timeout_is_answered_as_gateway_timeout() {
     let site = Site::start().await;
     site.store.configuration.send_modify(|shown| {
         let shown = shown.as_mut().unwrap();
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_its_run() {
+async fn a_caller_that_disconnects_cancels_its_run() {
     let site = Site::start().await;
     site.app.answer_with(&[RoutedAnswer::Silent]);
     let endless = RoutedAnswer::Stream {
@@ -198,7 +198,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_passes_piece_by_piece_and_a_broken_one_looks_broken() {
+async fn a_stream_is_relayed_and_a_broken_one_ends_incomplete() {
     let site = Site::start().await;
     let whole = RoutedAnswer::Stream {
         events: 4,
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_may_be_resumed_goes_on_within_one_answer() {
+async fn a_resumable_stream_continues_within_one_answer() {
     let site = Site::start().await;
     let second = site.add_server("llm-2", "llm").await;
     let breaks = RoutedAnswer::Stream {
@@ -296,7 +296,7 @@
 }
 
 #[tokio::test]
-async fn a_panic_ends_its_own_request_and_is_counted() {
+async fn a_panic_ends_only_its_own_request_and_is_counted() {
     let site = Site::start().await;
     site.app.answer_with(&[RoutedAnswer::Silent]);
     let callers = site.callers();
@@ -326,7 +326,7 @@
 }
 
 #[tokio::test]
-async fn a_request_bound_to_regions_runs_in_them_or_nowhere() {
+async fn a_request_restricted_to_regions_runs_only_there() {
     let site = Site::start_with(|settings| {
         settings.regions = BTreeMap::from([("hall-a".to_owned(), "west".to_owned())]);
     })
@@ -363,7 +363,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_does_not_go_on_in_a_region_that_was_taken_out_meanwhile() {
+async fn a_stream_does_not_resume_in_a_region_that_is_no_longer_allowed() {
     let site = Site::start_with(|settings| {
         settings.regions = BTreeMap::from([("hall-a".to_owned(), "west".to_owned())]);
     })
--- a/crates/reedsail_router/tests/server_notices.rs
+++ b/crates/reedsail_router/tests/server_notices.rs
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn requests_go_on_to_a_server_whose_answer_said_that_it_drains() {
+async fn a_server_whose_answer_reports_draining_gets_no_new_requests() {
     let failure = RoutedAnswer::Whole {
         status: 500,
         bytes: 10,
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn requests_go_on_to_a_server_that_asked_for_time() {
+async fn a_server_that_requests_backoff_gets_no_new_requests() {
     for (path, is_retry) in [("/once/", false), ("/stream/", false), ("/again/", true)] {
         let site = Site::start().await;
         let (server, service) = first_server(&site, path);
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn a_request_waits_or_is_sent_although_every_server_has_asked_for_time() {
+async fn a_request_is_refused_while_every_server_is_backed_off() {
     let site = Site::start().await;
     site.app.answer_with(&[RoutedAnswer::NotRun]);
     site.app.say(FIVE_SECONDS);
--- a/crates/reedsail_router/tests/slow_readers.rs
+++ b/crates/reedsail_router/tests/slow_readers.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_cuts_an_slow_reader_is_not_taken_for_a_broken_one() {
+async fn a_server_that_cuts_off_a_slow_reader_does_not_count_as_failed() {
     for path in ["/stream/", "/resume/"] {
         let site = Site::start().await;
         let second = site.add_server("llm-2", "llm").await;
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_that_stop_reading_take_no_service_from_those_who_read() {
+async fn callers_that_stop_reading_do_not_affect_other_callers() {
     const STOPPED: usize = 200;
     let site = Site::start().await;
     site.llm.answer_with(&[RoutedAnswer::Flood {
--- a/crates/reedsail_router/tests/suspension.rs
+++ b/crates/reedsail_router/tests/suspension.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn a_server_is_given_no_more_time_than_the_caller_has_left() {
+async fn a_server_gets_at_most_the_time_left_until_the_callers_deadline() {
     let (site, suspension) = site().await;
     let second = site.add_server("app-2", "app").await;
     for server in [&site.app, &second] {
@@ -86,13 +86,13 @@
 }
 
 #[tokio::test]
-async fn a_request_in_hand_ends_at_the_deadline_that_passed_meanwhile() {
+async fn a_pending_request_ends_if_its_deadline_passes_during_a_suspension() {
     let reply = ask_across_a_suspension("/once/").await;
     assert_eq!(reply.status, StatusCode::GATEWAY_TIMEOUT);
 }
 
 #[tokio::test]
-async fn a_stream_in_hand_ends_at_the_deadline_that_passed_meanwhile() {
+async fn an_open_stream_ends_if_its_deadline_passes_during_a_suspension() {
     for path in ["/stream/", "/resume/"] {
         assert!(!ask_across_a_suspension(path).await.is_whole, "{path}");
     }
