--- a/crates/reedsail_router/src/configuration.rs
+++ b/crates/reedsail_router/src/configuration.rs
@@ -1,72 +1,72 @@
-//! The operators' configuration, in the project's own terms.
+//! The operators' configuration, independent of the platform's format.
 //!
-//! The adapter decodes it once from the platform's record. Peers fetch it as JSON, so the names and the
-//! forms of the serialised fields stay as they are.
+//! The adapter decodes it once from the platform's record. Peers fetch it as JSON, so the names and formats of the
+//! serialised fields must not change.
 
 use reedsail_dispatch::RetryPolicy;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One version of the operators' configuration; each replaces the one before it.
+/// One version of the operators' configuration; each version replaces the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Grows with each version, in uneven steps.
+    /// Increases with each version, not necessarily by one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
-    /// The services behind them.
+    /// The services behind the routes.
     pub services: Vec<ServiceDefinition>,
-    /// The workspaces; where there are none, requests need no key.
+    /// The workspaces. If there are none, requests need no key.
     pub workspaces: Vec<WorkspaceDefinition>,
-    /// What callers may send.
+    /// The limits for callers.
     pub limits: CallerLimits,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repetition {
-    /// It may.
+    /// The request may run more than once.
     Allowed,
-    /// It runs at most once.
+    /// The request runs at most once.
     Never,
 }
 
-/// How the answer to a request comes.
+/// How the answer to a request is transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerShape {
     /// As one body.
     Whole,
     /// As a stream of events.
     Events {
-        /// Another server may go on after the last event.
+        /// Whether another server may continue the stream after the last event.
         resumable: bool,
     },
 }
 
-/// Requests of one host whose path begins with one prefix.
+/// A route for the requests to one host whose paths begin with one prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that callers name.
+    /// The host that callers request.
     pub host: String,
-    /// The beginning of the path; it begins and ends with a slash.
+    /// The path prefix; it begins and ends with a slash.
     pub prefix: String,
     /// Whether its requests may run more than once.
     pub repetition: Repetition,
-    /// How its answers come.
+    /// How its answers are transferred.
     pub answer: AnswerShape,
     /// Time-out of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Latency target: time to the first event within which an answer is worth its full value, in
-    /// milliseconds. Peers know it as `goal_ms`.
+    /// Latency target: the time to the first event within which an answer has its full value, in milliseconds.
+    /// Serialised as `goal_ms` for peers.
     #[serde(rename = "goal_ms")]
     pub latency_target_ms: u64,
-    /// Servers that one request may run on.
+    /// Maximum number of servers that one request may be sent to.
     pub attempts: u32,
-    /// Its requests need no key.
+    /// Whether its requests need no key.
     pub is_anonymous: bool,
-    /// The services that requests are spread over.
+    /// The services among which requests are distributed.
     pub targets: Vec<RouteTarget>,
     /// The regions that its requests may run in; `None` for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -74,7 +74,7 @@
 }
 
 impl Route {
-    /// Tells whether a request may be sent again after it may have run.
+    /// Returns whether a request may be retried after it may have run.
     pub fn is_repeatable(&self) -> bool {
         match self.answer {
             AnswerShape::Whole => self.repetition == Repetition::Allowed,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns what the retry rule needs to know of the route.
+    /// Returns the retry policy of the route.
     pub fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             is_repeatable: self.is_repeatable(),
@@ -91,7 +91,7 @@
     }
 }
 
-/// A service that gets a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTarget {
     /// The service.
@@ -105,14 +105,14 @@
 pub struct ServiceDefinition {
     /// Its name.
     pub name: String,
-    /// Connections that one of its servers accepts at most, from all instances together.
+    /// Maximum number of connections that one of its servers accepts from all instances together.
     pub connections_max: u32,
-    /// Its servers are model engines, which cache the prompts that they prefill.
+    /// Whether its servers are model engines, which cache the prompts that they prefill.
     pub is_model: bool,
-    /// How long one of its servers is cold after a start, in milliseconds.
+    /// How long one of its servers stays cold after a start, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Requests a second that a cold one bears, from all instances together; zero where none is stated.
+    /// Requests per second that a cold server can handle from all instances together; zero if not specified.
     #[serde(default)]
     pub cold_requests_per_s: f64,
 }
@@ -129,19 +129,19 @@
     pub allowed_regions: Option<Vec<String>>,
 }
 
-/// What callers may send, and what the engines give.
+/// Limits for callers, and the throughput of the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Size of the head of a request at most, in bytes.
+    /// Maximum size of the head of a request, in bytes.
     pub header_bytes_max: usize,
-    /// Size of the body of a request at most, in bytes.
+    /// Maximum size of the body of a request, in bytes.
     pub body_bytes_max: usize,
-    /// Time that a head may take to arrive, in milliseconds.
+    /// Time-out for the arrival of a head, in milliseconds.
     pub header_ms: u64,
-    /// Time that a connection may rest between requests, in milliseconds.
+    /// Maximum idle time of a connection between requests, in milliseconds.
     pub idle_ms: u64,
-    /// Tokens a second that all engines together produce, if the operators know it. Passed on to peers; no
-    /// decision rests on it, since it is what is divided among workspaces and not how fast an engine is.
+    /// Tokens per second that all engines together produce, if the operators know it. It is passed on to peers, but no
+    /// decision uses it, because it is the total to divide among workspaces and not the speed of an engine.
     pub engine_tokens_per_s: Option<f64>,
 }
 
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -1,7 +1,7 @@
-//! The control actor: owns what this instance believes, and hands each message to the part it concerns.
+//! The control actor owns this instance's view of the fleet, and passes each message to the component that handles it.
 //!
-//! One actor on one thread, so that no belief needs a lock. It never waits: reads of the store, fetches
-//! from peers and datagrams are tasks around it (`follow`, `peer_fetch`, `thread`).
+//! One actor on one thread owns the state, so that no part of it needs a lock. The actor never waits: separate tasks
+//! read the store, fetch from peers, and send and receive datagrams (`follow`, `peer_fetch`, `thread`).
 
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
 use xtra::Handler;
 
 use super::configuration_state::ConfigurationState;
-use super::configuration_state::KnownConfiguration;
+use super::configuration_state::PeerConfiguration;
 use super::evacuation_state::EvacuationState;
 use super::follow::ELECTION_CHECK_MAX_MS;
 use super::follow::ELECTION_CHECK_MIN_MS;
@@ -59,7 +59,7 @@
 use super::server_notice_log::log_server_notices;
 use super::server_pages::ServerPages;
 use super::server_publication::publish_servers;
-use super::server_publication::take_delta;
+use super::server_publication::log_and_publish_delta;
 use super::share_watch::ShareWatch;
 use super::store_era::StoreEra;
 use super::store_status::StoreStatus;
@@ -67,17 +67,17 @@
 use crate::HeaderProtocol;
 use crate::shared::Shared;
 
-/// Interval between two plans of fetches, in milliseconds.
+/// Shortest interval between two rounds of fetches, in milliseconds.
 const FETCH_INTERVAL_MS: u64 = 500;
-/// How long a new instance waits for a peer's message before it reads the store by itself, in milliseconds.
-/// Peers answer within a tick; several hundred instances that start together would each read the store
-/// twice otherwise.
+/// How long a new instance waits for a message from a peer before it reads the store itself, in milliseconds. Peers
+/// answer within a tick. Without the wait, several hundred instances that start together would each read the store
+/// twice.
 const PEER_WAIT_MS: u64 = 400;
-/// Interval at which the decisions are told which instances there are, in milliseconds.
-const MEMBERS_INTERVAL_MS: u64 = 1_000;
-/// Age from which a new instance takes the instances that it has heard of for the whole fleet, in milliseconds:
-/// a message names eight, and one comes every 25 ms in a large fleet.
-const MEMBERS_KNOWN_MS: u64 = 1_000;
+/// Interval at which the list of instances is published to the dispatcher, in milliseconds.
+const MEMBERS_PUBLISH_INTERVAL_MS: u64 = 1_000;
+/// Time from its start after which an instance assumes that it knows the whole fleet, in milliseconds. A message names
+/// eight instances, and one message arrives every 25 ms in a large fleet.
+const MEMBERS_WARMUP_MS: u64 = 1_000;
 
 /// The state of the control thread.
 pub(crate) struct Control<H> {
@@ -94,9 +94,9 @@
     suspensions: SuspensionWatch,
     pages: ServerPages,
     next_fetch_at: TimeMs,
-    /// The peer that was asked last does not know the difference to this instance's list.
+    /// Whether the peer of the last fetch could not compute the difference to this instance's list.
     needs_whole_list: bool,
-    /// Until when a fetch of the whole list of servers may be under way.
+    /// The time until which a fetch of the whole list of servers may be in progress.
     whole_list_until: TimeMs,
     next_members_at: TimeMs,
 }
@@ -130,11 +130,12 @@
         }
     }
 
-    fn own_version(&self) -> u64 {
+    fn in_force_version(&self) -> u64 {
         self.shared.routes.load().version()
     }
 
-    /// Asks the store-reader rule. What was never known counts as stale since the start.
+    /// Returns whether this instance may read a topic of the store now, by the reader election. A topic that was never
+    /// known counts as stale since the start.
     fn read_turn(&self, topic: StoreTopic, now: TimeMs) -> ReadTurn {
         let peers = self.exchange.peers();
         let is_new = now.since_ms(self.started_at) < PEER_WAIT_MS;
@@ -149,9 +150,9 @@
         let timing = self.exchange.timing(now);
         let candidates = peers.reader_candidates(now);
         let own = DutyRank::of(self.identity.instance, self.identity.processor_milli);
-        // Through aggregators what one reader knows reaches all failure domains.
-        let reads_for = (!self.exchange.is_aggregated(now)).then_some(self.identity.failure_domain);
-        if is_reader(own, reads_for, candidates, timing) {
+        // With aggregators, the updates of one reader reach all failure domains.
+        let domain_scope = (!self.exchange.is_aggregated(now)).then_some(self.identity.failure_domain);
+        if is_reader(own, domain_scope, candidates, timing) {
             return ReadTurn::Now(self.servers.revision());
         }
         let place = self.exchange.domain_position(now);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Makes what each message says of this instance.
+    /// Builds the part of each load message that describes this instance.
     fn message_head(&self, now: TimeMs) -> MessageHeader {
         MessageHeader {
             departures: self.servers.departures(),
@@ -174,10 +175,10 @@
         }
     }
 
-    /// Makes the same without departures, which are never urgent by themselves and may be many.
+    /// Builds the same without departures, which are never urgent by themselves and may be numerous.
     fn head_without_departures(&self, now: TimeMs) -> MessageHeader {
         MessageHeader {
-            configuration_version: self.own_version(),
+            configuration_version: self.in_force_version(),
             configuration_age_ms: saturating_ms(self.configuration.age_ms(now)),
             servers_revision: self.servers.revision(),
             servers_digest: self.servers.digest(),
@@ -189,12 +190,12 @@
         }
     }
 
-    /// Plans fetches of what a peer has newer, at most once an interval.
+    /// Plans fetches from peers that have a newer configuration or server list, at most once an interval.
     fn plan_fetches(&mut self, now: TimeMs) -> Vec<PeerFetch> {
         if now < self.next_fetch_at {
             return Vec::new();
         }
-        let newer = self.exchange.peers().with_newer_configuration(self.own_version());
+        let newer = self.exchange.peers().with_newer_configuration(self.in_force_version());
         let newer = newer.map(PeerFetch::Configuration);
         let fetches: Vec<PeerFetch> = newer.into_iter().chain(self.plan_server_fetch(now)).collect();
         if !fetches.is_empty() {
@@ -203,8 +204,8 @@
         fetches
     }
 
-    /// Plans the fetch of a newer list of servers: the difference where the peer may know it, else the whole list,
-    /// which is fetched once at a time.
+    /// Plans the fetch of a newer list of servers: the difference if the peer may know it, and else the whole list. At
+    /// most one fetch of the whole list is in progress at a time.
     fn plan_server_fetch(&mut self, now: TimeMs) -> Option<PeerFetch> {
         let own = self.servers.revision();
         let peers = self.exchange.peers();
@@ -220,25 +221,25 @@
         Some(PeerFetch::Servers(peer))
     }
 
-    /// Has the next messages sent at once if peers must learn of something new.
-    fn note_urgent(&self, now: TimeMs) {
+    /// Wakes the sender of load messages if peers must learn of an urgent change.
+    fn notify_if_urgent(&self, now: TimeMs) {
         if self.exchange.is_urgent(&self.head_without_departures(now), now) {
             self.shared.peer_send_requested.notify_one();
         }
     }
 
-    /// Drops the load of peers that went silent.
+    /// Drops the load of peers that have become silent.
     fn drop_silent_peers(&mut self, now: TimeMs) {
-        for lost in self.exchange.drop_silent(now) {
-            self.shared.dispatcher().drop_peer(lost.instance);
-            if let Some(address) = lost.silent_address {
+        for silent_peer in self.exchange.drop_silent(now) {
+            self.shared.dispatcher().drop_peer(silent_peer.instance);
+            if let Some(address) = silent_peer.silent_address {
                 let fields = [("peer", address.to_string())];
                 self.shared.emit(EventKind::PeerSuspected, &fields);
             }
         }
     }
 
-    /// Tells the decisions and the metrics how large the fleet is and how old what is known of its load.
+    /// Publishes the size of the fleet and the age of its known load to the dispatcher and to the metrics.
     fn publish_fleet(&self, now: TimeMs) {
         let instances = self.exchange.instances(now);
         self.shared.dispatcher().set_instances(instances);
@@ -250,23 +251,23 @@
         self.shared.set_load_known_at(load_known_at.map(TimeMs));
     }
 
-    /// Tells the decisions which instances there are, once that is known: an instance that takes itself for the
-    /// whole fleet would send to every cold server.
+    /// Publishes the list of instances to the dispatcher once the list is known. An instance that assumes that it is
+    /// the whole fleet would send to every cold server.
     fn publish_members(&mut self, now: TimeMs) {
         let peers = self.exchange.peers();
         let is_alone = peers.has_seeds() && peers.alive().next().is_none();
-        let is_new = peers.has_seeds() && now.since_ms(self.started_at) < MEMBERS_KNOWN_MS;
+        let is_new = peers.has_seeds() && now.since_ms(self.started_at) < MEMBERS_WARMUP_MS;
         if now < self.next_members_at || is_alone || is_new {
             return;
         }
-        self.next_members_at = now.plus_ms(MEMBERS_INTERVAL_MS);
+        self.next_members_at = now.plus_ms(MEMBERS_PUBLISH_INTERVAL_MS);
         let members = self.exchange.members();
         let own = self.identity.instance;
         self.shared.dispatcher().set_members(own, &members);
     }
 
-    /// Has the decisions count the load that a message brought, in place of what it replaces.
-    fn count_load(&self, receipt: ReceiveOutcome, now: TimeMs) {
+    /// Passes the load of a received message to the dispatcher, in place of the load that it replaces.
+    fn apply_load(&self, receipt: ReceiveOutcome, now: TimeMs) {
         let mut dispatcher = self.shared.dispatcher();
         for source in receipt.dropped {
             dispatcher.drop_peer(source);
@@ -308,13 +309,13 @@
             targets: outgoing.targets,
         }),
         Err(error) => {
-            log::error!("a load message cannot be encoded and is not sent: {error}");
+            log::error!("cannot encode a load message; it is not sent: {error}");
             None
         }
     }
 }
 
-/// Writes an age into the load message; the longest one stands for longer ones.
+/// Converts an age for the load message; an age beyond the maximum becomes the maximum.
 fn saturating_ms(age_ms: u64) -> u32 {
     u32::try_from(age_ms).unwrap_or(u32::MAX)
 }
@@ -330,7 +331,7 @@
 
     async fn handle(&mut self, read: ConfigurationRead, _: &mut Context<Self>) {
         ConfigurationState::put_in_force(&self.shared, read.configuration, read.origin);
-        self.note_urgent(self.shared.clock.now());
+        self.notify_if_urgent(self.shared.clock.now());
     }
 }
 
@@ -338,7 +339,7 @@
     type Return = ();
 
     async fn handle(&mut self, unreadable: ConfigurationUnreadable, _: &mut Context<Self>) {
-        let in_force = self.own_version().to_string();
+        let in_force = self.in_force_version().to_string();
         let fields = [("fault", unreadable.0), ("in_force", in_force)];
         self.shared.emit(EventKind::ConfigurationInvalid, &fields);
     }
@@ -350,7 +351,7 @@
     async fn handle(&mut self, read: EvacuationsRead, _: &mut Context<Self>) {
         let now = self.shared.clock.now();
         self.evacuations.apply(&self.shared, &self.servers, &read.0, now);
-        self.note_urgent(now);
+        self.notify_if_urgent(now);
     }
 }
 
@@ -360,9 +361,9 @@
     async fn handle(&mut self, read: ServersRead, _: &mut Context<Self>) {
         let now = self.shared.clock.now();
         let delta = self.servers.apply(read.update, read.asked_at, now);
-        self.era.note(&self.shared, &self.servers, Origin::Store);
-        take_delta(&self.shared, &mut self.servers, &delta, Origin::Store, now);
-        self.note_urgent(now);
+        self.era.log_era_change(&self.shared, &self.servers, Origin::Store);
+        log_and_publish_delta(&self.shared, &mut self.servers, &delta, Origin::Store, now);
+        self.notify_if_urgent(now);
     }
 }
 
@@ -373,9 +374,9 @@
         let now = self.shared.clock.now();
         self.needs_whole_list = false;
         let delta = self.servers.apply_listing(read.0, now);
-        self.era.note(&self.shared, &self.servers, Origin::Peer);
-        take_delta(&self.shared, &mut self.servers, &delta, Origin::Peer, now);
-        self.note_urgent(now);
+        self.era.log_era_change(&self.shared, &self.servers, Origin::Peer);
+        log_and_publish_delta(&self.shared, &mut self.servers, &delta, Origin::Peer, now);
+        self.notify_if_urgent(now);
     }
 }
 
@@ -400,7 +401,7 @@
 
     async fn handle(&mut self, read: StoreReadEnded, _: &mut Context<Self>) {
         match (read.topic, &read.fault) {
-            (StoreTopic::Configuration, None) => self.configuration.record_known(read.known_at),
+            (StoreTopic::Configuration, None) => self.configuration.record_confirmed(read.known_at),
             (StoreTopic::Servers, Some(_)) => self.servers.record_store_failure(),
             (StoreTopic::Configuration, Some(_)) | (StoreTopic::Servers, None) => {}
         }
@@ -422,7 +423,7 @@
             age_ms: u64::from(message.servers_age_ms),
             departures: &message.departures.clone(),
         };
-        let known = KnownConfiguration::of(&message);
+        let peer_configuration = PeerConfiguration::of(&message);
         self.evacuations
             .merge(&self.shared, &self.servers, &message.evacuations, now);
         let receipt = self.exchange.receive(message, received.from, now);
@@ -432,21 +433,21 @@
             Arrival::FromNew => {
                 let fields = [("peer", received.from.to_string())];
                 self.shared.emit(EventKind::PeerAlive, &fields);
-                // It may know nothing of the requests that end servers, and would send each once more.
+                // A new peer may not know the requests that end servers, and would send each of them once more.
                 self.shared.dispatcher().announce_suspects(now);
             }
         }
-        self.configuration.receive_age(known, self.own_version(), now);
+        self.configuration.merge_peer_age(peer_configuration, self.in_force_version(), now);
         let comparison = self.servers.compare_with_peer(&peer_list, now);
-        self.era.note(&self.shared, &self.servers, Origin::Peer);
+        self.era.log_era_change(&self.shared, &self.servers, Origin::Peer);
         match comparison {
             ListComparison::NewerWithDepartures | ListComparison::DeparturesChanged => {
                 publish_servers(&self.shared, &mut self.servers, now);
             }
             ListComparison::NothingNew | ListComparison::Newer => {}
         }
-        self.count_load(receipt, now);
-        self.note_urgent(now);
+        self.apply_load(receipt, now);
+        self.notify_if_urgent(now);
     }
 }
 
@@ -482,7 +483,7 @@
     async fn handle(&mut self, _: Tick, _: &mut Context<Self>) -> Outbox {
         let now = self.shared.clock.now();
         let delta = self.servers.tick(now);
-        take_delta(&self.shared, &mut self.servers, &delta, Origin::GraceOver, now);
+        log_and_publish_delta(&self.shared, &mut self.servers, &delta, Origin::GraceOver, now);
         self.shared.dispatcher().tick(now);
         log_server_notices(&self.shared, now);
         log_server_ends(&self.shared);
--- a/crates/reedsail_router/src/control/configuration_state.rs
+++ b/crates/reedsail_router/src/control/configuration_state.rs
@@ -1,6 +1,6 @@
-//! The configuration in force, and when it was known to be the newest.
+//! The configuration in force, and the time at which it was last known to be the newest.
 //!
-//! Versions only grow: what is older than the version in force changes nothing.
+//! Versions only grow: a configuration that is older than the one in force is ignored.
 
 use std::sync::Arc;
 
@@ -15,17 +15,17 @@
 use crate::route_table::RouteTable;
 use crate::shared::Shared;
 
-/// Age of a configuration that was never known to be the newest, in milliseconds.
-const NEVER_KNOWN_MS: u64 = u32::MAX as u64;
+/// Age of a configuration that was never confirmed as the newest, in milliseconds.
+const NEVER_CONFIRMED_AGE_MS: u64 = u32::MAX as u64;
 
-/// What a peer's message says of its configuration.
+/// The version and age of a peer's configuration, from its load message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct KnownConfiguration {
+pub(crate) struct PeerConfiguration {
     version: u64,
     age_ms: u64,
 }
 
-impl KnownConfiguration {
+impl PeerConfiguration {
     pub(crate) fn of(message: &LoadMessage) -> Self {
         Self {
             version: message.configuration_version,
@@ -34,14 +34,14 @@
     }
 }
 
-/// How fresh the configuration in force is.
+/// When the configuration in force was last confirmed as the newest.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigurationState {
-    known_at: Option<TimeMs>,
+    confirmed_at: Option<TimeMs>,
 }
 
 impl ConfigurationState {
-    /// Puts a configuration in force, unless it is not newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     pub(crate) fn put_in_force<H>(shared: &Shared<H>, configuration: Configuration, origin: Origin) {
         let before = shared.routes.load().version();
         if configuration.version <= before {
@@ -68,22 +68,22 @@
         shared.emit(EventKind::ConfigurationInForce, &fields);
     }
 
-    /// Records that the configuration in force was the newest at a moment.
-    pub(crate) fn record_known(&mut self, known_at: TimeMs) {
-        self.known_at = self.known_at.max(Some(known_at));
+    /// Records that the configuration in force was the newest at `confirmed_at`.
+    pub(crate) fn record_confirmed(&mut self, confirmed_at: TimeMs) {
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
 
-    /// Takes over how fresh a peer's configuration is, if the peer has no newer one.
-    pub(crate) fn receive_age(&mut self, known: KnownConfiguration, own_version: u64, now: TimeMs) {
-        if own_version == 0 || known.version > own_version {
+    /// Merges the age of a peer's configuration, unless the peer has a newer version.
+    pub(crate) fn merge_peer_age(&mut self, peer: PeerConfiguration, own_version: u64, now: TimeMs) {
+        if own_version == 0 || peer.version > own_version {
             return;
         }
-        self.record_known(TimeMs(now.0.saturating_sub(known.age_ms)));
+        self.record_confirmed(TimeMs(now.0.saturating_sub(peer.age_ms)));
     }
 
-    /// Returns how long ago the configuration was known to be the newest, in milliseconds.
+    /// Returns how long ago the configuration was confirmed as the newest, in milliseconds.
     pub(crate) fn age_ms(&self, now: TimeMs) -> u64 {
-        self.known_at
-            .map_or(NEVER_KNOWN_MS, |known_at| now.since_ms(known_at))
+        self.confirmed_at
+            .map_or(NEVER_CONFIRMED_AGE_MS, |confirmed_at| now.since_ms(confirmed_at))
     }
 }
--- a/crates/reedsail_router/src/control/evacuation_state.rs
+++ b/crates/reedsail_router/src/control/evacuation_state.rs
@@ -1,5 +1,5 @@
-//! The failure domains that the operators evacuate: what the store and peers say of them, and what the decisions
-//! are told.
+//! The failure domains that operators evacuate: merges the reports of the store and of peers, and publishes the result
+//! to the dispatcher.
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
@@ -12,7 +12,7 @@
 use super::messages::Origin;
 use crate::shared::Shared;
 
-/// What is known, and what was published last.
+/// The known evacuations, and the failure domains that were published last.
 #[derive(Debug, Default)]
 pub(crate) struct EvacuationState {
     known: Evacuations,
@@ -20,7 +20,7 @@
 }
 
 impl EvacuationState {
-    /// Takes in a read of the store.
+    /// Applies an update that was read from the store.
     pub(crate) fn apply<H>(
         &mut self,
         shared: &Shared<H>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Takes in what a peer's message says.
+    /// Merges the evacuations of a peer's load message.
     pub(crate) fn merge<H>(
         &mut self,
         shared: &Shared<H>,
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Takes over what the store says since it came back from a copy, once that was withheld for long enough.
+    /// Applies the withheld evacuation state of a restored store once its grace period is over.
     pub(crate) fn tick<H>(&mut self, shared: &Shared<H>, servers: &ServerList, now: TimeMs) {
         if self.known.tick(now) {
             self.publish(shared, servers, Origin::GraceOver, now);
         }
     }
 
-    /// Returns how many failure domains the store says something else of than is in force.
+    /// Returns the number of failure domains whose state in the store differs from the state in force.
     pub(crate) fn withheld(&self) -> usize {
         self.known.withheld()
     }
@@ -72,7 +72,7 @@
             .map(|domain| (EventKind::DomainEvacuated, domain))
             .chain(ended.map(|domain| (EventKind::DomainReturned, domain)));
         for (kind, domain) in changes {
-            // A failure domain without a server has no name here.
+            // The name of a failure domain without a server is not known here.
             let name = servers.failure_domain_name(*domain);
             let fields = [
                 (
--- a/crates/reedsail_router/src/control/follow.rs
+++ b/crates/reedsail_router/src/control/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the two topics of the store while this instance is the reader, and hands what it gives to the
-//! actor. The rule who reads is `store_reader` of `reedsail_dispatch`.
+//! Follows the two topics of the store while this instance is the elected reader, and sends each update to the actor.
+//! The election rule is `store_reader` of `reedsail_dispatch`.
 
 use std::time::Duration;
 
@@ -26,43 +26,43 @@
 use crate::ServerSource;
 use crate::SourceError;
 
-/// How long the store may hold a call for a new configuration, in milliseconds. A call that a cut
-/// swallowed ends after this time and `ANSWER_MS`, and only then is the store asked again.
-const WAIT_MS: u64 = 1_000;
-/// Time that an answer of the store may take, in milliseconds.
-const ANSWER_MS: u64 = 800;
+/// How long the store may hold a long-poll call for a new configuration, in milliseconds. A call that is lost in a
+/// network partition ends after this time plus `ANSWER_TIMEOUT_MS`; the next call follows only then.
+const LONG_POLL_MS: u64 = 1_000;
+/// Time-out of an answer of the store, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 800;
 /// Interval at which the reader reads the list of servers, in milliseconds.
-const SERVERS_EVERY_MS: u64 = 750;
-/// Shortest and longest interval at which an instance that is not the reader checks whether it is now, in
+const SERVERS_POLL_INTERVAL_MS: u64 = 750;
+/// Shortest interval at which an instance that is not the reader checks whether it has become the reader, in
 /// milliseconds.
 pub(super) const ELECTION_CHECK_MIN_MS: u64 = 100;
-/// See [`ELECTION_CHECK_MIN_MS`].
+/// Longest such interval, in milliseconds; see [`ELECTION_CHECK_MIN_MS`].
 pub(super) const ELECTION_CHECK_MAX_MS: u64 = 300;
-/// First pause after a failure, in milliseconds.
-const PAUSE_FIRST_MS: u64 = 200;
-/// Longest pause after failures in a row, in milliseconds.
-const PAUSE_MAX_MS: u64 = 800;
+/// Delay before a retry after the first failure, in milliseconds.
+const RETRY_DELAY_MIN_MS: u64 = 200;
+/// Longest delay before a retry after consecutive failures, in milliseconds.
+const RETRY_DELAY_MAX_MS: u64 = 800;
 
-/// Pauses that grow with each failure in a row.
+/// Exponential back-off: the delay doubles with each consecutive failure.
 #[derive(Clone, Copy, Debug)]
-struct Pause {
-    next_ms: u64,
+struct RetryBackoff {
+    next_delay_ms: u64,
 }
 
-impl Pause {
+impl RetryBackoff {
     fn new() -> Self {
         Self {
-            next_ms: PAUSE_FIRST_MS,
+            next_delay_ms: RETRY_DELAY_MIN_MS,
         }
     }
 
     fn reset(&mut self) {
-        self.next_ms = PAUSE_FIRST_MS;
+        self.next_delay_ms = RETRY_DELAY_MIN_MS;
     }
 
     async fn wait(&mut self) {
-        sleep(Duration::from_millis(self.next_ms)).await;
-        self.next_ms = (self.next_ms * 2).min(PAUSE_MAX_MS);
+        sleep(Duration::from_millis(self.next_delay_ms)).await;
+        self.next_delay_ms = (self.next_delay_ms * 2).min(RETRY_DELAY_MAX_MS);
     }
 }
 
@@ -72,41 +72,41 @@
     control: Address<Control<H>>,
     clock: Clock,
 ) {
-    let mut pause = Pause::new();
+    let mut backoff = RetryBackoff::new();
     loop {
         wait_for_turn(&control, StoreTopic::Configuration).await;
         let fault = read_configuration(&mut source, &control, clock).await;
-        // The store answers a held call as soon as there is a change, so there was none before its
+        // The store answers a held call as soon as there is a change, so the configuration is current as of the
         // answer.
         let known_at = clock.now();
-        report(&control, StoreTopic::Configuration, known_at, fault, &mut pause).await;
+        report_read(&control, StoreTopic::Configuration, known_at, fault, &mut backoff).await;
     }
 }
 
-/// Makes one held call and hands what came to the actor; returns what went wrong, if anything did.
+/// Makes one long-poll call and sends the update to the actor. Returns the fault if the read failed.
 async fn read_configuration<H: HeaderProtocol>(
     source: &mut impl OperatorSource,
     control: &Address<Control<H>>,
     clock: Clock,
 ) -> Option<String> {
     let asked_at = clock.now();
-    let limit = Duration::from_millis(WAIT_MS + ANSWER_MS);
-    let outcome = timeout(limit, source.next(WAIT_MS)).await;
+    let limit = Duration::from_millis(LONG_POLL_MS + ANSWER_TIMEOUT_MS);
+    let outcome = timeout(limit, source.next(LONG_POLL_MS)).await;
     let outcome = outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer in time".to_owned())));
     let update = match outcome {
         Ok(update) => update,
         Err(error) => return Some(error.to_string()),
     };
     if update.is_empty() {
-        // A store that answers at once instead of holding the call is asked no more often.
-        clock.timer(asked_at.plus_ms(WAIT_MS / 2)).await;
+        // Limits the call rate if the store answers at once instead of holding the call.
+        clock.timer(asked_at.plus_ms(LONG_POLL_MS / 2)).await;
         return None;
     }
-    hand_on(update, control).await
+    send_operator_update(update, control).await
 }
 
-/// Hands what the operators wrote to the actor; returns what is wrong with it, if anything is.
-async fn hand_on<H: HeaderProtocol>(update: OperatorUpdate, control: &Address<Control<H>>) -> Option<String> {
+/// Sends the operators' update to the actor. Returns the fault if its configuration cannot be read.
+async fn send_operator_update<H: HeaderProtocol>(update: OperatorUpdate, control: &Address<Control<H>>) -> Option<String> {
     // The actor ends only with the instance.
     let _ = control.send(EvacuationsRead(update.evacuations)).await;
     match update.configuration? {
@@ -136,11 +136,11 @@
     control: Address<Control<H>>,
     clock: Clock,
 ) {
-    let mut pause = Pause::new();
+    let mut backoff = RetryBackoff::new();
     loop {
         let known_revision = wait_for_turn(&control, StoreTopic::Servers).await;
         let asked_at = clock.now();
-        let outcome = timeout(Duration::from_millis(ANSWER_MS), source.poll(known_revision)).await;
+        let outcome = timeout(Duration::from_millis(ANSWER_TIMEOUT_MS), source.poll(known_revision)).await;
         let outcome =
             outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer in time".to_owned())));
         let fault = match outcome {
@@ -152,35 +152,35 @@
             Err(error) => Some(error.to_string()),
         };
         let is_read = fault.is_none();
-        report(&control, StoreTopic::Servers, asked_at, fault, &mut pause).await;
+        report_read(&control, StoreTopic::Servers, asked_at, fault, &mut backoff).await;
         if is_read {
-            sleep(Duration::from_millis(SERVERS_EVERY_MS)).await;
+            sleep(Duration::from_millis(SERVERS_POLL_INTERVAL_MS)).await;
         }
     }
 }
 
-/// Waits until this instance may read the store; returns the revision of the server list that it has
-/// learned from peers.
+/// Waits until this instance may read the store. Returns the revision of its server list, which it may have learned
+/// from peers.
 async fn wait_for_turn<H: HeaderProtocol>(control: &Address<Control<H>>, topic: StoreTopic) -> StorePosition {
     loop {
-        let pause_ms = match control.send(MayRead(topic)).await {
+        let delay_ms = match control.send(MayRead(topic)).await {
             Ok(ReadTurn::Now(known_revision)) => return known_revision,
-            Ok(ReadTurn::After(pause_ms)) => pause_ms,
+            Ok(ReadTurn::After(delay_ms)) => delay_ms,
             // The actor ends only with the instance.
             Err(_) => ELECTION_CHECK_MAX_MS,
         };
-        sleep(Duration::from_millis(pause_ms)).await;
+        sleep(Duration::from_millis(delay_ms)).await;
     }
 }
 
-async fn report<H: HeaderProtocol>(
+async fn report_read<H: HeaderProtocol>(
     control: &Address<Control<H>>,
     topic: StoreTopic,
     known_at: TimeMs,
     fault: Option<String>,
-    pause: &mut Pause,
+    backoff: &mut RetryBackoff,
 ) {
-    let is_lost = fault.is_some();
+    let has_failed = fault.is_some();
     // The actor ends only with the instance.
     let _ = control
         .send(StoreReadEnded {
@@ -189,9 +189,9 @@
             fault,
         })
         .await;
-    if is_lost {
-        pause.wait().await;
+    if has_failed {
+        backoff.wait().await;
     } else {
-        pause.reset();
+        backoff.reset();
     }
 }
--- a/crates/reedsail_router/src/control/messages.rs
+++ b/crates/reedsail_router/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that the control actor takes, each from one task of the control thread.
+//! The messages that the control actor receives from the tasks of the control thread.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -13,14 +13,14 @@
 
 use crate::Configuration;
 
-/// Where something was learned, as log lines name it.
+/// The source of a change, as named in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// The platform's store.
     Store,
     /// A peer.
     Peer,
-    /// A suspect's grace period that is over.
+    /// The end of a grace period, without new information.
     GraceOver,
 }
 
@@ -35,49 +35,49 @@
     }
 }
 
-/// The store or a peer gave a configuration.
+/// A configuration was read from the store or fetched from a peer.
 pub(crate) struct ConfigurationRead {
     pub(crate) configuration: Configuration,
     pub(crate) origin: Origin,
 }
 
-/// The store has a configuration that cannot be read.
+/// The store has a configuration that cannot be parsed; holds the fault.
 pub(crate) struct ConfigurationUnreadable(pub(crate) String);
 
-/// The store gave what the operators said of evacuations.
+/// Evacuations of failure domains were read from the store.
 pub(crate) struct EvacuationsRead(pub(crate) EvacuationUpdate);
 
-/// Asks whether this instance may read the store now; answered with a [`ReadTurn`].
+/// Asks whether this instance may read a topic of the store now; answered with a [`ReadTurn`].
 pub(crate) struct MayRead(pub(crate) StoreTopic);
 
 /// Whether this instance may read the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadTurn {
-    /// It may, from this revision of its server list on.
+    /// It may read now, starting at this revision of its server list.
     Now(StorePosition),
-    /// It need not before so many milliseconds have passed.
+    /// It must not read now, and asks again after this time, in milliseconds.
     After(u64),
 }
 
-/// The store gave what has changed among the servers.
+/// Changes of the server list were read from the store.
 pub(crate) struct ServersRead {
     pub(crate) update: ServerUpdate,
     pub(crate) asked_at: TimeMs,
 }
 
-/// A peer gave its list of servers.
+/// A server list was fetched from a peer.
 pub(crate) struct PeerServersRead(pub(crate) ServerListing);
 
 /// A read of the store has ended.
 pub(crate) struct StoreReadEnded {
     pub(crate) topic: StoreTopic,
-    /// The moment for which the answer holds.
+    /// The time as of which the answer is valid.
     pub(crate) known_at: TimeMs,
-    /// What went wrong, if anything did.
+    /// Describes the failure if the read failed.
     pub(crate) fault: Option<String>,
 }
 
-/// A load message came.
+/// A load message was received.
 pub(crate) struct MessageReceived {
     pub(crate) message: LoadMessage,
     pub(crate) from: SocketAddrV4,
@@ -86,32 +86,32 @@
 /// Time has passed; answered with an [`Outbox`].
 pub(crate) struct Tick;
 
-/// What a tick asks to be sent.
+/// The messages and fetches that are due after a tick.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     /// The load messages that are due, encoded.
     pub(crate) datagrams: Vec<Datagram>,
-    /// What to fetch from peers.
+    /// Fetches from peers to start.
     pub(crate) fetches: Vec<PeerFetch>,
-    /// After what time the next tick is due, in milliseconds.
+    /// Time until the next tick is due, in milliseconds.
     pub(crate) next_tick_ms: u64,
 }
 
-/// An encoded load message, and whom to send it to.
+/// An encoded load message and its destinations.
 #[derive(Debug)]
 pub(crate) struct Datagram {
     pub(crate) bytes: Vec<u8>,
     pub(crate) targets: Vec<SocketAddrV4>,
 }
 
-/// Something to fetch from a peer.
+/// A fetch from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerFetch {
-    /// The configuration in force there.
+    /// The configuration in force at the peer.
     Configuration(SocketAddrV4),
-    /// The whole list of backend servers there.
+    /// The peer's whole list of backend servers.
     Servers(SocketAddrV4),
-    /// How the list there differs from the one that has this digest.
+    /// The difference between the peer's list and the list that has this digest.
     ServersSince(SocketAddrV4, u64),
 }
 
@@ -121,11 +121,11 @@
 /// A fetch of the whole list of servers has ended.
 pub(crate) struct WholeListFetched;
 
-/// A peer does not know how its list of servers differs from this instance's.
+/// A peer cannot tell how its list of servers differs from this instance's list.
 pub(crate) struct DifferenceUnknown;
 
-/// A peer asks for the list of servers, or for how it differs from the list that has a digest; answered with the
-/// page, or `None` where the difference is not known.
+/// A peer requests the list of servers, or its difference to the list that has a digest; answered with the page, or
+/// with `None` if the difference is not known.
 pub(crate) struct ListServers {
     pub(crate) differs_from: Option<u64>,
 }
--- a/crates/reedsail_router/src/control/mod.rs
+++ b/crates/reedsail_router/src/control/mod.rs
@@ -1,10 +1,10 @@
-//! The control thread: what this instance believes, and the tasks that feed and spread it.
+//! The control thread: this instance's view of the fleet, and the tasks that update and distribute it.
 //!
-//! `thread` runs the actor and the tasks around it. `actor` owns the state: `configuration_state`,
-//! `evacuation_state`, `store_status`, `share_watch`, `server_end_log`, `server_notice_log`, `quarantine_log`,
-//! `suspension_watch`, the load exchange of `reedsail_gossip`, and the server list of `reedsail_dispatch`, which
-//! `server_publication` publishes and `server_pages` shows to peers. `follow` reads the store, `peer_fetch` reads from
-//! peers; both send `messages` to the actor.
+//! `thread` runs the actor and its tasks. `actor` owns the state: `configuration_state`, `evacuation_state`,
+//! `store_status`, `share_watch`, `server_end_log`, `server_notice_log`, `quarantine_log`, `suspension_watch`, the load
+//! exchange of `reedsail_gossip`, and the server list of `reedsail_dispatch`. `server_publication` publishes that list
+//! to the dispatcher, and `server_pages` serves it to peers. `follow` reads the store, `peer_fetch` reads from peers;
+//! both send `messages` to the actor.
 
 mod actor;
 mod configuration_state;
--- a/crates/reedsail_router/src/control/peer_fetch.rs
+++ b/crates/reedsail_router/src/control/peer_fetch.rs
@@ -1,7 +1,7 @@
 //! Fetches a newer configuration or server list from a peer, over TCP.
 //!
-//! A load message says only that the peer has something newer. A fetch that fails is planned anew by a
-//! later tick, from whichever peer has the newest then.
+//! A load message announces only that the peer has a newer version. If a fetch fails, a later tick plans it again, from
+//! the peer that has the newest version at that time.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -33,39 +33,39 @@
 use crate::admin::DIGEST_QUERY;
 use crate::admin::SERVERS_PATH;
 
-/// Time that a fetch may take, in milliseconds; shorter than the interval at which the actor plans fetches, so that
-/// one has ended before the next begins.
+/// Time-out of a fetch, in milliseconds. It is shorter than the interval at which the actor plans fetches, so that a
+/// fetch has ended before the next one begins.
 const FETCH_TIMEOUT_MS: u64 = 450;
-/// Time that a fetch of the whole list of servers may take, in milliseconds: the list is long, and many instances
-/// fetch it from one when all start together.
+/// Time-out of a fetch of the whole list of servers, in milliseconds. The list is long, and many instances that start
+/// together fetch it from one peer.
 pub(super) const WHOLE_LIST_TIMEOUT_MS: u64 = 5_000;
-/// Time to connect to a peer at most, in milliseconds.
-const CONNECT_MS: u64 = 200;
-/// Size of an answer at most, in bytes.
+/// Time-out of a connection attempt to a peer, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 200;
+/// Maximum size of an answer, in bytes.
 const ANSWER_BYTES_MAX: usize = 16 << 20;
 
-/// Why a fetch gave nothing.
+/// Why a fetch failed.
 #[derive(Debug, Error)]
 enum FetchError {
     #[error("cannot connect to the peer: {0}")]
     Connect(std::io::Error),
     #[error("the peer closed the connection")]
     Closed,
-    #[error("the request cannot be built: {0}")]
+    #[error("cannot build the request: {0}")]
     Request(hyper::http::Error),
     #[error("the peer did not answer: {0}")]
     NoAnswer(reedsail_net::SendError),
     #[error("the peer answered with status {0}")]
     Status(StatusCode),
-    #[error("the answer broke off or is too large: {0}")]
+    #[error("the answer is incomplete or too large: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("the answer cannot be read: {0}")]
+    #[error("cannot parse the answer: {0}")]
     Unreadable(serde_json::Error),
     #[error("the peer did not answer within {0} ms")]
     TimedOut(u64),
 }
 
-/// Runs a fetch and hands what came to the actor.
+/// Runs a fetch and sends the result to the actor.
 pub(crate) async fn run_fetch<H: HeaderProtocol>(fetch: PeerFetch, control: Address<Control<H>>) {
     let outcome = match fetch {
         PeerFetch::Configuration(peer) => fetch_configuration(peer, &control).await,
@@ -73,9 +73,9 @@
         PeerFetch::ServersSince(peer, digest) => fetch_difference(peer, digest, &control).await,
     };
     if let Err(error) = outcome {
-        // Debug level: peers are asked again twice a second while they are out of reach, and their
-        // silence is logged as an event of its own.
-        log::debug!("{fetch:?}: {error}");
+        // Debug level: fetches from an unreachable peer are retried twice a second, and the silence of a peer
+        // is logged as a separate event.
+        log::debug!("{fetch:?} failed: {error}");
     }
 }
 
@@ -119,10 +119,10 @@
 async fn fetch_servers<H: HeaderProtocol>(
     peer: SocketAddrV4,
     path: &str,
-    limit_ms: u64,
+    timeout_ms: u64,
     control: &Address<Control<H>>,
 ) -> Result<(), FetchError> {
-    let listing = fetch_page(peer, path, limit_ms).await?;
+    let listing = fetch_page(peer, path, timeout_ms).await?;
     // The actor ends only with the instance.
     let _ = control.send(PeerServersRead(listing)).await;
     Ok(())
@@ -131,17 +131,17 @@
 async fn fetch_page<T: DeserializeOwned>(
     peer: SocketAddrV4,
     path: &str,
-    limit_ms: u64,
+    timeout_ms: u64,
 ) -> Result<T, FetchError> {
-    let bytes = timeout(Duration::from_millis(limit_ms), fetch_bytes(peer, path))
+    let bytes = timeout(Duration::from_millis(timeout_ms), fetch_bytes(peer, path))
         .await
-        .map_err(|_| FetchError::TimedOut(limit_ms))??;
+        .map_err(|_| FetchError::TimedOut(timeout_ms))??;
     serde_json::from_slice(&bytes).map_err(FetchError::Unreadable)
 }
 
 async fn fetch_bytes(peer: SocketAddrV4, path: &str) -> Result<Bytes, FetchError> {
     let address = SocketAddr::V4(peer);
-    let mut connection = HttpConnection::open(address, CONNECT_MS, ByteCounter::default())
+    let mut connection = HttpConnection::open(address, CONNECT_TIMEOUT_MS, ByteCounter::default())
         .await
         .map_err(FetchError::Connect)?;
     if !connection.ready().await {
--- a/crates/reedsail_router/src/control/quarantine_log.rs
+++ b/crates/reedsail_router/src/control/quarantine_log.rs
@@ -1,4 +1,4 @@
-//! Logs and counts the requests that are not sent any more since servers end under them.
+//! Logs and counts quarantined requests, which are no longer sent because servers ended while they ran.
 
 use reedsail_core::NameHash;
 use reedsail_dispatch::QuarantineChange;
@@ -7,7 +7,7 @@
 
 use crate::shared::Shared;
 
-/// Logs each request that was quarantined or is no more, and counts those that are.
+/// Logs each request whose quarantine began or ended, and counts the quarantined requests.
 pub(crate) fn log_quarantine<H>(shared: &Shared<H>) {
     let (events, quarantined) = {
         let mut dispatcher = shared.dispatcher();
@@ -24,7 +24,7 @@
         ("fingerprint", event.fingerprint.to_string()),
         ("workspace", workspace_name(shared, event.workspace)),
     ];
-    let ended_since = match event.change {
+    let end_reason = match event.change {
         QuarantineChange::Quarantined => {
             shared.emit(EventKind::RequestQuarantined, &fields);
             return;
@@ -32,7 +32,7 @@
         QuarantineChange::Cleared => "answered",
         QuarantineChange::Forgotten => "has_not_come",
     };
-    fields.push(("reason", ended_since.to_owned()));
+    fields.push(("reason", end_reason.to_owned()));
     shared.emit(EventKind::QuarantineEnded, &fields);
 }
 
--- a/crates/reedsail_router/src/control/seeds.rs
+++ b/crates/reedsail_router/src/control/seeds.rs
@@ -1,11 +1,12 @@
-//! The seeds of the settings, as addresses of peers.
+//! Converts the seeds in the settings to peer addresses.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
 
-/// Returns where the seeds take load messages: on the same port as this instance, but for those on a
-/// loopback address, whose ports differ. This instance itself is left out, and so are addresses of
-/// version 6, which load messages cannot name.
+/// Returns the addresses at which the seeds receive load messages.
+///
+/// Seeds use the same port as this instance, except those on a loopback address, whose ports differ.
+/// This instance itself is left out, and so are IPv6 addresses, which load messages cannot contain.
 pub(crate) fn peer_addresses(seeds: &[SocketAddr], own: SocketAddr) -> Vec<SocketAddrV4> {
     seeds
         .iter()
--- a/crates/reedsail_router/src/control/server_end_log.rs
+++ b/crates/reedsail_router/src/control/server_end_log.rs
@@ -5,10 +5,10 @@
 
 use crate::shared::Shared;
 
-/// Fingerprints that one line names at most.
+/// Maximum number of fingerprints in one log line.
 const FINGERPRINTS_MAX: usize = 8;
 
-/// Logs each server that was found to have ended, with the requests that broke off there.
+/// Logs each server that was found to have ended, with the requests that it interrupted.
 pub(crate) fn log_server_ends<H>(shared: &Shared<H>) {
     let ends = shared.dispatcher().take_server_ends();
     for end in ends {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Returns the server's id; the hash of its name once it is no longer listed.
+/// Returns the server's id, or the hash of its name if it is no longer listed.
 fn server_id<H>(shared: &Shared<H>, end: &ServerEnd) -> String {
     let view = shared.servers.get(end.server);
     view.map_or_else(|| format!("{:08x}", end.name.0), |view| view.id.to_string())
--- a/crates/reedsail_router/src/control/server_pages.rs
+++ b/crates/reedsail_router/src/control/server_pages.rs
@@ -1,32 +1,32 @@
-//! The pages of the list of backend servers that peers fetch.
+//! Renders the list of backend servers as JSON pages for peers.
 //!
-//! Owns the newest page of the whole list: when many instances start together, each fetches it.
+//! Caches the page of the whole list, because each of many instances that start together fetches it.
 
 use bytes::Bytes;
 use reedsail_core::TimeMs;
 use reedsail_dispatch::ServerList;
 use reedsail_dispatch::ServerListing;
 
-/// How long a page of the whole list is handed out, in milliseconds.
+/// How long a page of the whole list is served from the cache, in milliseconds.
 const WHOLE_PAGE_VALID_MS: u64 = 250;
 
-/// A page of the whole list.
+/// A cached page of the whole list.
 #[derive(Debug)]
 struct WholePage {
     digest: u64,
     valid_until: TimeMs,
-    text: Bytes,
+    json: Bytes,
 }
 
-/// The pages.
+/// Renders pages, and caches the page of the whole list.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPages {
     whole: Option<WholePage>,
 }
 
 impl ServerPages {
-    /// Returns the page of how the list differs from the one that has a digest, or of the whole list; `None` if the
-    /// difference is not known any more.
+    /// Returns the page with the difference to the list that has the digest `differs_from`, or the page of the whole
+    /// list if there is no digest. Returns `None` if the difference is no longer known.
     pub(crate) fn page(
         &mut self,
         list: &ServerList,
@@ -37,38 +37,38 @@
             return Some(self.whole(list, now));
         };
         let difference = list.difference(digest, now)?;
-        Some(text_of(&difference))
+        Some(to_json(&difference))
     }
 
     fn whole(&mut self, list: &ServerList, now: TimeMs) -> Bytes {
         let is_valid = |page: &&WholePage| page.digest == list.digest() && now < page.valid_until;
         if let Some(page) = self.whole.as_ref().filter(is_valid) {
-            return page.text.clone();
+            return page.json.clone();
         }
         let mut listing = list.listing(now);
-        // Whoever gets the page later must not take the list for fresher than it is.
+        // A peer that gets the cached page later must not assume a fresher list than it receives.
         listing.age_ms += WHOLE_PAGE_VALID_MS;
-        let text = text_of(&listing);
+        let json = to_json(&listing);
         self.whole = Some(WholePage {
             digest: list.digest(),
             valid_until: now.plus_ms(WHOLE_PAGE_VALID_MS),
-            text: text.clone(),
+            json: json.clone(),
         });
-        text
+        json
     }
 
-    /// Drops the page once it is not handed out any more: it is as large as the list.
+    /// Drops the cached page when it expires, because it is as large as the list.
     pub(crate) fn tick(&mut self, now: TimeMs) {
         self.whole.take_if(|page| page.valid_until <= now);
     }
 }
 
-fn text_of(listing: &ServerListing) -> Bytes {
+fn to_json(listing: &ServerListing) -> Bytes {
     match serde_json::to_vec(listing) {
-        Ok(text) => Bytes::from(text),
+        Ok(json) => Bytes::from(json),
         Err(error) => {
-            // No field of the page can fail to be written. The peer cannot read an empty page, and asks again.
-            log::error!("the list of backend servers cannot be written: {error}");
+            // Not expected: every field of the page can be serialised. The peer cannot parse an empty page and retries.
+            log::error!("cannot serialise the list of backend servers; peers get an empty page: {error}");
             Bytes::new()
         }
     }
--- a/crates/reedsail_router/src/control/server_publication.rs
+++ b/crates/reedsail_router/src/control/server_publication.rs
@@ -1,4 +1,4 @@
-//! Publishes the list of backend servers to the decisions and to the traffic thread, and logs changes.
+//! Publishes the list of backend servers to the dispatcher and to the traffic thread, and logs changes.
 
 use std::sync::Arc;
 
@@ -16,8 +16,8 @@
 use crate::server_views::ServerView;
 use crate::shared::Shared;
 
-/// Logs what has changed in the list, and publishes it.
-pub(crate) fn take_delta<H>(
+/// Logs a change of the list, and publishes it.
+pub(crate) fn log_and_publish_delta<H>(
     shared: &Shared<H>,
     list: &mut ServerList,
     delta: &ListDelta,
@@ -28,7 +28,7 @@
     publish_servers(shared, list, now);
 }
 
-/// Gives what has changed in the list to the decisions and to the traffic thread.
+/// Passes changes of the list to the dispatcher and to the traffic thread.
 pub(crate) fn publish_servers<H>(shared: &Shared<H>, list: &mut ServerList, now: TimeMs) {
     let changes = list.take_use_changes(now);
     if changes.is_empty() {
--- a/crates/reedsail_router/src/control/share_watch.rs
+++ b/crates/reedsail_router/src/control/share_watch.rs
@@ -1,7 +1,7 @@
-//! Logs when a workspace goes over its fair share, or comes back under it.
+//! Logs when a workspace goes over its fair share, or returns below it.
 //!
-//! Owns what was logged last of each workspace. Relies on the dispatcher for the shares, which are those that
-//! requests are judged by on this instance.
+//! Owns the state that was last logged for each workspace. The shares come from the dispatcher and are the ones that
+//! this instance applies to requests.
 
 use std::collections::HashSet;
 
@@ -13,31 +13,32 @@
 use crate::share_fields::share_fields;
 use crate::shared::Shared;
 
-/// Interval between two looks, in milliseconds: a workspace at its level crosses it many times a second.
-const LOOK_EVERY_MS: u64 = 1_000;
+/// Interval between two checks, in milliseconds. A workspace at its level crosses it many times a second, so checking
+/// on each tick would log many lines.
+const CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// The workspaces that were over their share at the last look.
+/// The workspaces that were over their share at the last check.
 #[derive(Debug, Default)]
 pub(crate) struct ShareWatch {
-    over: HashSet<NameHash>,
-    next_look_at: TimeMs,
+    over_share: HashSet<NameHash>,
+    next_check_at: TimeMs,
 }
 
 impl ShareWatch {
-    /// Looks at the workspaces that sent requests here, if it is time to.
+    /// Checks the workspaces that sent requests to this instance, if a check is due.
     pub(crate) fn tick<H>(&mut self, shared: &Shared<H>, now: TimeMs) {
-        if now < self.next_look_at {
+        if now < self.next_check_at {
             return;
         }
-        self.next_look_at = now.plus_ms(LOOK_EVERY_MS);
-        let by_workspace = shared.dispatcher().own_workspace_shares(now);
-        let asking: HashSet<NameHash> = by_workspace.iter().map(|(workspace, _)| *workspace).collect();
-        self.over.retain(|workspace| asking.contains(workspace));
-        for (workspace, share) in by_workspace {
+        self.next_check_at = now.plus_ms(CHECK_INTERVAL_MS);
+        let shares = shared.dispatcher().own_workspace_shares(now);
+        let active: HashSet<NameHash> = shares.iter().map(|(workspace, _)| *workspace).collect();
+        self.over_share.retain(|workspace| active.contains(workspace));
+        for (workspace, share) in shares {
             let has_crossed = if share.is_exceeded() {
-                self.over.insert(workspace)
+                self.over_share.insert(workspace)
             } else {
-                self.over.remove(&workspace)
+                self.over_share.remove(&workspace)
             };
             if has_crossed {
                 log_crossing(shared, workspace, &share);
--- a/crates/reedsail_router/src/control/store_era.rs
+++ b/crates/reedsail_router/src/control/store_era.rs
@@ -1,6 +1,6 @@
-//! The era of the store, as the list of backend servers knows it: what is logged and measured when one begins.
+//! Logs when the store begins a new era, and publishes the metrics of eras.
 //!
-//! Owns the place in the store's log that was seen last; relies on the list and the evacuations for what is held on to.
+//! Owns the last known position in the store's log. The server list and the evacuations hold the withheld records.
 
 use reedsail_core::StorePosition;
 use reedsail_dispatch::ServerList;
@@ -10,17 +10,18 @@
 use super::messages::Origin;
 use crate::shared::Shared;
 
-/// The place in the store's log that was seen last.
+/// The last known position in the store's log.
 #[derive(Debug, Default)]
 pub(crate) struct StoreEra {
-    seen: StorePosition,
+    last_position: StorePosition,
 }
 
 impl StoreEra {
-    /// Logs an era that has begun, and by whose word. The first one that an instance hears of began before it did.
-    pub(crate) fn note<H>(&mut self, shared: &Shared<H>, servers: &ServerList, origin: Origin) {
-        let before = std::mem::replace(&mut self.seen, servers.revision());
-        let after = self.seen;
+    /// Logs an era that has begun, with the origin of the information. The first era that an instance learns of is not
+    /// logged: it began before the instance did.
+    pub(crate) fn log_era_change<H>(&mut self, shared: &Shared<H>, servers: &ServerList, origin: Origin) {
+        let before = std::mem::replace(&mut self.last_position, servers.revision());
+        let after = self.last_position;
         shared.metrics.store_era.set(i64::from(after.era));
         if before.era == after.era || before == StorePosition::default() {
             return;
@@ -34,7 +35,7 @@
         shared.emit(EventKind::StoreEraBegan, &fields);
     }
 
-    /// Publishes how many records of the store do not count yet.
+    /// Publishes how many records of the store do not take effect yet.
     pub(crate) fn tick<H>(shared: &Shared<H>, servers: &ServerList, evacuations: &EvacuationState) {
         let withheld = servers.kept_departures().len() + evacuations.withheld();
         shared.metrics.records_withheld.set(withheld as i64);
--- a/crates/reedsail_router/src/control/store_status.rs
+++ b/crates/reedsail_router/src/control/store_status.rs
@@ -1,18 +1,18 @@
-//! Which topics of the store did not answer the last read; logs when one is lost and when it is back.
+//! Tracks the store topics whose last read failed, and logs when a topic is lost and when it is back.
 
 use reedsail_dispatch::StoreTopic;
 use reedsail_events::EventKind;
 
 use crate::shared::Shared;
 
-/// The topics that are lost.
+/// The topics whose last read failed.
 #[derive(Debug, Default)]
 pub(crate) struct StoreStatus {
     lost: Vec<StoreTopic>,
 }
 
 impl StoreStatus {
-    /// Records the end of a read, with what went wrong if anything did.
+    /// Records the end of a read; `fault` describes the failure if the read failed.
     pub(crate) fn record_read<H>(&mut self, shared: &Shared<H>, topic: StoreTopic, fault: Option<String>) {
         let outcome = if fault.is_some() { "failed" } else { "read" };
         let labels = [topic.name(), outcome];
--- a/crates/reedsail_router/src/control/thread.rs
+++ b/crates/reedsail_router/src/control/thread.rs
@@ -1,5 +1,5 @@
-//! The control thread: the actor and the tasks around it, which follow the store, send and receive load
-//! messages, fetch from peers, and serve the pages for the balancer, for metrics and for peers.
+//! The control thread runs the actor and its tasks. The tasks follow the store, send and receive load messages, fetch
+//! from peers, and serve the HTTP pages for the balancer, for metrics and for peers.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket as StdUdpSocket;
@@ -28,28 +28,28 @@
 use crate::admin::serve_admin;
 use crate::shared::Shared;
 
-/// Size of a datagram at most, in bytes: as large as UDP allows.
+/// Maximum size of a datagram, in bytes: the limit of UDP.
 const DATAGRAM_BYTES_MAX: usize = 64 << 10;
 
-/// How long urgent changes are gathered before they are sent, in milliseconds, so that they go out in one message.
-const URGENT_GATHER_MS: u64 = 20;
+/// How long urgent changes are collected before they are sent, in milliseconds, so that one message carries them all.
+const URGENT_BATCH_MS: u64 = 20;
 
-/// What the control thread is given.
+/// Everything that the control thread needs to run.
 pub(crate) struct ControlThread<H, C, S> {
     pub(crate) shared: Arc<Shared<H>>,
     pub(crate) configuration_source: C,
     pub(crate) server_source: S,
     pub(crate) peer_socket: StdUdpSocket,
-    /// For the balancer, for metrics and for peers.
-    pub(crate) page_listeners: Vec<std::net::TcpListener>,
-    /// Seeds from settings that were read again.
+    /// Listeners for the pages for the balancer, for metrics and for peers.
+    pub(crate) http_listeners: Vec<std::net::TcpListener>,
+    /// Seeds from reloaded settings.
     pub(crate) seeds: mpsc::Receiver<Vec<SocketAddr>>,
 }
 
-/// Runs until the instance ends.
+/// Runs the control thread until the instance ends.
 ///
 /// # Errors
-/// The system's, when a socket cannot be used.
+/// Returns the system's error if a socket cannot be used.
 pub(crate) async fn run_control<H, C, S>(thread: ControlThread<H, C, S>) -> std::io::Result<()>
 where
     H: HeaderProtocol,
@@ -59,7 +59,7 @@
     let shared = thread.shared;
     let (control, mailbox) = Mailbox::unbounded();
     spawn_local(xtra::run(mailbox, Control::new(Arc::clone(&shared))));
-    for listener in thread.page_listeners {
+    for listener in thread.http_listeners {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         spawn_local(serve_admin(listener, Arc::clone(&shared), control.clone()));
     }
@@ -75,7 +75,7 @@
     ));
     let socket = Arc::new(UdpSocket::from_std(thread.peer_socket)?);
     spawn_local(receive_messages(Arc::clone(&socket), control.clone()));
-    spawn_local(take_seeds(thread.seeds, control.clone()));
+    spawn_local(forward_seeds(thread.seeds, control.clone()));
     run_ticks(&shared, &socket, &control).await;
     Ok(())
 }
@@ -95,7 +95,7 @@
         let sent = shared.metrics.peer_messages.with_label_values(&["sent"]);
         for datagram in outbox.datagrams {
             for target in datagram.targets {
-                // A datagram that cannot be sent counts as lost: the next one replaces it.
+                // A failed send is ignored, as a lost datagram is: the next datagram replaces it.
                 if socket
                     .try_send_to(&datagram.bytes, SocketAddr::V4(target))
                     .is_ok()
@@ -108,12 +108,12 @@
     }
 }
 
-/// Waits for the next tick, or a moment for more news if peers must learn of something at once.
+/// Waits for the next tick. If peers must learn of an urgent change, waits only to collect further urgent changes.
 async fn wait_for_tick<H: HeaderProtocol>(shared: &Shared<H>, next_tick_ms: u64) {
     select! {
         () = sleep(Duration::from_millis(next_tick_ms)) => {}
         () = shared.peer_send_requested.notified() => {
-            sleep(Duration::from_millis(next_tick_ms.min(URGENT_GATHER_MS))).await;
+            sleep(Duration::from_millis(next_tick_ms.min(URGENT_BATCH_MS))).await;
         }
     }
 }
@@ -121,20 +121,20 @@
 async fn receive_messages<H: HeaderProtocol>(socket: Arc<UdpSocket>, control: Address<Control<H>>) {
     let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
     loop {
-        // An error here reports a datagram sent earlier that met no listener: its peer is silent, and that
-        // is logged.
+        // An error here reports that an earlier datagram found no listener. The peer is silent then, which is
+        // logged elsewhere.
         let Ok((length, SocketAddr::V4(from))) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         match LoadMessage::decode(&buffer[..length]) {
             // The actor ends only with the instance.
             Ok(message) => drop(control.send(MessageReceived { message, from }).await),
-            Err(error) => log::debug!("a datagram from {from} cannot be read: {error}"),
+            Err(error) => log::debug!("cannot decode a datagram from {from}: {error}"),
         }
     }
 }
 
-async fn take_seeds<H: HeaderProtocol>(
+async fn forward_seeds<H: HeaderProtocol>(
     mut seeds: mpsc::Receiver<Vec<SocketAddr>>,
     control: Address<Control<H>>,
 ) {
--- a/crates/reedsail_router/src/program.rs
+++ b/crates/reedsail_router/src/program.rs
@@ -1,4 +1,4 @@
-//! The program around a router: flags, settings, signals, exit codes.
+//! Runs a router as a program: flags, settings, signals and exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -15,27 +15,26 @@
 use crate::RunningRouter;
 use crate::ServerSource;
 
-/// Exit code of a stop that cut requests off.
+/// Exit code if a stop cut off open requests.
 const EXIT_CUT: u8 = 3;
-/// Exit code of a program that could not start.
+/// Exit code if the program could not start.
 const EXIT_UNUSABLE: u8 = 2;
 
-/// Time that the program waits at its end for its last log lines to be written, in milliseconds.
-const LAST_LINES_MS: u64 = 100;
+/// How long the program waits at its end until the last log lines are written, in milliseconds.
+const LOG_FLUSH_TIMEOUT_MS: u64 = 100;
 
 /// The flags of the command line.
 #[derive(Clone, Debug)]
 pub struct ProgramFlags {
-    /// The file with the settings, if the command line names it.
+    /// The settings file, if it is given on the command line.
     pub settings: Option<PathBuf>,
-    /// The environment variable that names it otherwise.
+    /// The environment variable that names the settings file otherwise.
     pub settings_variable: &'static str,
-    /// Checks the settings and ends.
+    /// Whether to check the settings and exit.
     pub check: bool,
 }
 
-/// Runs a router until a signal ends it: SIGTERM and SIGINT begin a planned stop, SIGHUP has the settings
-/// read again.
+/// Runs a router until a signal ends it. SIGTERM and SIGINT begin a planned stop; SIGHUP reloads the settings.
 pub fn run_program<H, C, S>(
     flags: &ProgramFlags,
     protocol: H,
@@ -83,8 +82,8 @@
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         let mut hangup = signal(SignalKind::hangup())?;
-        let for_sources = settings.clone();
-        let router = RunningRouter::start(settings, protocol, move || make_sources(&for_sources))?;
+        let source_settings = settings.clone();
+        let router = RunningRouter::start(settings, protocol, move || make_sources(&source_settings))?;
         loop {
             tokio::select! {
                 _ = terminate.recv() => break,
@@ -97,13 +96,13 @@
         }
         Ok(router.close().await)
     });
-    sink_end.close(LAST_LINES_MS);
+    sink_end.close(LOG_FLUSH_TIMEOUT_MS);
     outcome
 }
 
 fn settings_path(flags: &ProgramFlags) -> anyhow::Result<PathBuf> {
     let variable = flags.settings_variable;
-    let named = || std::env::var_os(variable).map(PathBuf::from);
-    let path = flags.settings.clone().or_else(named);
+    let from_environment = || std::env::var_os(variable).map(PathBuf::from);
+    let path = flags.settings.clone().or_else(from_environment);
     path.with_context(|| format!("name the settings file with --config or {variable}"))
 }
--- a/crates/reedsail_router/src/running.rs
+++ b/crates/reedsail_router/src/running.rs
@@ -25,13 +25,13 @@
 use crate::traffic::TrafficThread;
 use crate::traffic::run_traffic;
 
-/// Interval at which a stopping router checks whether requests are open, in milliseconds.
+/// Interval at which a stopping router checks for open requests, in milliseconds.
 const STOP_POLL_MS: u64 = 20;
 
-/// Ports that are tried where any will do.
-const PORT_TRIES_MAX: u32 = 20;
+/// Maximum number of ports to try if the settings allow any port.
+const PORT_ATTEMPTS_MAX: u32 = 20;
 
-/// Where a router listens, with free ports filled in.
+/// The addresses on which a router listens, with the actual ports in place of port 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterAddresses {
     /// For callers.
@@ -54,10 +54,10 @@
 }
 
 impl<H: HeaderProtocol> RunningRouter<H> {
-    /// Starts a router. The sources are made on the control thread.
+    /// Starts a router. `make_sources` runs on the control thread.
     ///
     /// # Errors
-    /// Names the address that cannot be listened on, or the thread that cannot be started.
+    /// Returns an error that names the address that cannot be bound, or the thread that cannot be started.
     pub fn start<C, S>(
         settings: RouterSettings,
         protocol: H,
@@ -70,10 +70,10 @@
         Self::start_at(Clock::default(), settings, protocol, make_sources)
     }
 
-    /// Starts a router that judges everything by this clock.
+    /// Starts a router that uses the given clock for all time measurements.
     ///
     /// # Errors
-    /// As [`RunningRouter::start`].
+    /// Returns the same errors as [`RunningRouter::start`].
     pub fn start_at<C, S>(
         clock: Clock,
         settings: RouterSettings,
@@ -93,7 +93,7 @@
             ("peers", addresses.peers.to_string()),
         ];
         shared.emit(EventKind::DaemonStarted, &fields);
-        let (seeds, new_seeds) = mpsc::channel(1);
+        let (seeds, seeds_receiver) = mpsc::channel(1);
         let traffic = TrafficThread {
             shared: Arc::clone(&shared),
             listener: listeners.callers,
@@ -106,8 +106,8 @@
                 configuration_source,
                 server_source,
                 peer_socket: listeners.peer_socket,
-                page_listeners: vec![listeners.readiness, listeners.admin, listeners.peers],
-                seeds: new_seeds,
+                http_listeners: vec![listeners.readiness, listeners.admin, listeners.peers],
+                seeds: seeds_receiver,
             })
         };
         let mut workers = Workers::default();
@@ -121,24 +121,24 @@
         })
     }
 
-    /// Returns where the router listens.
+    /// Returns the addresses on which the router listens.
     pub fn addresses(&self) -> RouterAddresses {
         self.addresses
     }
 
-    /// Returns the version of the configuration in force; zero for none.
+    /// Returns the version of the configuration in force, or zero if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.shared.routes.load().version()
     }
 
-    /// Takes over what may change in settings that were read again, which is the seeds.
+    /// Applies the seeds of reloaded settings; changes of all other settings need a restart.
     pub async fn reload(&self, settings: &RouterSettings) {
         let before = &self.shared.settings;
-        let same_but_for_seeds = RouterSettings {
+        let with_old_seeds = RouterSettings {
             seeds: before.seeds.clone(),
             ..settings.clone()
         };
-        let needs_restart = same_but_for_seeds != *before;
+        let needs_restart = with_old_seeds != *before;
         // The receiver ends only with the control thread.
         let _ = self.seeds.send(settings.seeds.clone()).await;
         let fields = [
@@ -148,13 +148,13 @@
         self.shared.emit(EventKind::SettingsReloaded, &fields);
     }
 
-    /// Reports that the settings could not be read again; the old ones stay.
+    /// Logs that the settings could not be reloaded; the old settings stay in force.
     pub fn report_invalid_settings(&self, fault: &str) {
         let fields = [("fault", fault.to_owned())];
         self.shared.emit(EventKind::SettingsReloaded, &fields);
     }
 
-    /// Stops as planned: every request that was read is finished first. Returns whether all were.
+    /// Performs a planned stop, which finishes every accepted request first. Returns whether all requests finished.
     pub async fn close(self) -> bool {
         let shared = &self.shared;
         let stop = shared.settings.stop;
@@ -163,7 +163,7 @@
         let end_at = now.plus_ms(stop.end_ms);
         shared.shutdown.begin(now, accept_until, end_at);
         shared.emit(EventKind::StopBegun, &[]);
-        let finished = loop {
+        let has_finished = loop {
             let now = shared.clock.now();
             let open = shared.metrics.open_requests.get();
             if now >= accept_until && open <= 0 {
@@ -177,16 +177,16 @@
             sleep(Duration::from_millis(STOP_POLL_MS)).await;
         };
         self.workers.close();
-        finished
+        has_finished
     }
 
-    /// Ends at once, as a crash would.
+    /// Ends immediately, like a crash.
     pub fn kill(self) {
         self.workers.close();
     }
 }
 
-/// The sockets of a router, bound before its threads start, so that a taken port is told at once.
+/// The sockets of a router. They are bound before the threads start, so that a port that is in use is reported at once.
 struct Listeners {
     callers: TcpListener,
     readiness: TcpListener,
@@ -220,18 +220,18 @@
     }
 }
 
-/// Takes one port for datagrams and for TCP. Where any port will do, one that is free for datagrams
-/// may be taken for TCP: then another is tried.
+/// Binds one port for both UDP and TCP. If the address has port 0, a port that is free for UDP may be in use for TCP;
+/// another port is tried then.
 fn bind_peers(address: SocketAddr) -> anyhow::Result<(UdpSocket, TcpListener)> {
-    let mut tries_left = if address.port() == 0 { PORT_TRIES_MAX } else { 1 };
+    let mut attempts_left = if address.port() == 0 { PORT_ATTEMPTS_MAX } else { 1 };
     loop {
         let socket = UdpSocket::bind(address)
             .with_context(|| format!("cannot receive datagrams on {address}; free the port"))?;
         socket.set_nonblocking(true)?;
-        tries_left -= 1;
+        attempts_left -= 1;
         match listen_on(socket.local_addr()?) {
             Ok(listener) => return Ok((socket, listener)),
-            Err(error) if tries_left == 0 => return Err(error),
+            Err(error) if attempts_left == 0 => return Err(error),
             Err(_) => {}
         }
     }
--- a/crates/reedsail_router/src/settings.rs
+++ b/crates/reedsail_router/src/settings.rs
@@ -1,5 +1,5 @@
-//! The router's settings, read from YAML; every fault is reported at once. Keys are what operators write,
-//! and stay.
+//! The router's settings, parsed from YAML. All faults are reported together. The keys are part of the operators'
+//! interface and must not change.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use reedsail_document::Value;
 use reedsail_document::read_document;
 
-/// Longest span that a setting may name, in milliseconds: a day.
+/// Longest duration that a setting may have, in milliseconds: a day.
 const SPAN_MAX_MS: u64 = 86_400_000;
 
-/// Memory of a process whose settings name none, in megabytes.
+/// Memory limit if the settings have none, in megabytes.
 const MEMORY_DEFAULT_MB: u64 = 1_024;
-/// Share of a core of a process whose settings name none.
+/// Share of a core if the settings have none.
 const PROCESSOR_DEFAULT_SHARE: f64 = 1.0;
-/// Log lines of one kind in a second where the settings name no number.
+/// Maximum number of log lines of one kind per second if the settings have none.
 const LOG_LINES_DEFAULT_PER_S: u32 = 50;
 
 /// The settings of a router.
@@ -28,31 +28,33 @@
 pub struct RouterSettings {
     /// The instance's name.
     pub instance: String,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub failure_domain: String,
-    /// The region of each failure domain. Requests that are bound to regions reach servers of these alone.
+    /// The region of each failure domain. Requests that are restricted to regions are sent only to servers in failure
+    /// domains of these regions.
     pub regions: BTreeMap<String, String>,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub listen: ListenAddresses,
     /// The path of the balancer's readiness probe.
     pub readiness_path: String,
-    /// Where the platform's store is.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Peers to send load messages to before any is known; their ports are replaced by this instance's own.
+    /// Peers to which load messages are sent before any peer is known. Their ports are replaced by this instance's own
+    /// peer port.
     pub seeds: Vec<SocketAddr>,
-    /// How a planned stop goes.
+    /// The time limits of a planned stop.
     pub stop: StopSettings,
-    /// Settings of the decisions.
+    /// The settings of the dispatcher.
     pub dispatch: DispatchSettings,
-    /// How much memory the process may use, in megabytes of a million bytes.
+    /// The memory limit of the process, in megabytes of a million bytes.
     pub memory_mb: u64,
     /// The share of a core that the process may use.
     pub processor_share: f64,
-    /// The most events of one kind that are logged in a second.
+    /// The maximum number of log lines of one kind per second.
     pub log_lines_per_s: u32,
 }
 
-/// Where the router listens; port 0 takes any free one.
+/// The addresses on which the router listens; port 0 selects any free port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
     /// For callers.
@@ -65,12 +67,12 @@
     pub peers: SocketAddr,
 }
 
-/// How a planned stop goes.
+/// The time limits of a planned stop, counted from the signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopSettings {
-    /// How long every request is still taken, in milliseconds, until callers have noticed.
+    /// How long every new request is still accepted while callers notice the stop, in milliseconds.
     pub accept_ms: u64,
-    /// When the process ends, whatever is still open, in milliseconds from the signal.
+    /// When the process ends even if requests are still open, in milliseconds from the signal.
     pub end_ms: u64,
 }
 
@@ -84,18 +86,18 @@
 }
 
 impl RouterSettings {
-    /// Returns the region of a failure domain; `None` if the settings name none.
+    /// Returns the region of a failure domain, or `None` if the settings have none.
     pub fn region_of(&self, failure_domain: &str) -> Option<NameHash> {
         let region = self.regions.get(failure_domain)?;
         Some(NameHash::of(region))
     }
 
-    /// Returns beyond how many connections callers are asked to close theirs.
+    /// Returns the number of connections above which callers are asked to close theirs.
     pub fn connections_max(&self) -> u64 {
         connections_max(self.memory_mb)
     }
 
-    /// Returns how many requests may be open at once.
+    /// Returns the maximum number of requests that may be open at once.
     pub fn open_requests_max(&self) -> u64 {
         open_requests_max(self.memory_mb)
     }
@@ -105,10 +107,10 @@
         (self.processor_share * 1_000.0) as u32
     }
 
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// Every fault, each with its line, key, value and what is allowed.
+    /// Returns all faults, each with its line, key, value and the allowed values.
     pub fn read(text: &str) -> Result<Self, Vec<Fault>> {
         read_document(text, |top| {
             let instance = top.required("instance").and_then(|value| value.name());
@@ -187,8 +189,8 @@
 fn read_stop(value: &Value<'_>) -> Option<StopSettings> {
     let mut map = value.mapping()?;
     let mut stop = StopSettings::default();
-    set_span(&mut map, "accept_ms", &mut stop.accept_ms);
-    set_span(&mut map, "end_ms", &mut stop.end_ms);
+    set_duration(&mut map, "accept_ms", &mut stop.accept_ms);
+    set_duration(&mut map, "end_ms", &mut stop.end_ms);
     if stop.accept_ms > stop.end_ms {
         map.fault("`accept_ms` must not be greater than `end_ms`");
     }
@@ -200,17 +202,17 @@
     let mut map = value.mapping()?;
     let mut dispatch = DispatchSettings::default();
     set_amount(&mut map, "repeat_ratio", &mut dispatch.retry_ratio);
-    set_span(&mut map, "repeat_window_ms", &mut dispatch.retry_window_ms);
+    set_duration(&mut map, "repeat_window_ms", &mut dispatch.retry_window_ms);
     set_amount(&mut map, "repeat_slack", &mut dispatch.retry_slack);
-    set_span(&mut map, "share_window_ms", &mut dispatch.share_window_ms);
-    set_span(&mut map, "report_valid_ms", &mut dispatch.report_valid_ms);
+    set_duration(&mut map, "share_window_ms", &mut dispatch.share_window_ms);
+    set_duration(&mut map, "report_valid_ms", &mut dispatch.report_valid_ms);
     map.close();
     Some(dispatch)
 }
 
-fn set_span(map: &mut Mapping<'_>, key: &'static str, target: &mut u64) {
-    if let Some(span_ms) = map.optional(key).and_then(|value| value.number(1..=SPAN_MAX_MS)) {
-        *target = span_ms;
+fn set_duration(map: &mut Mapping<'_>, key: &'static str, target: &mut u64) {
+    if let Some(duration_ms) = map.optional(key).and_then(|value| value.number(1..=SPAN_MAX_MS)) {
+        *target = duration_ms;
     }
 }
 
--- a/crates/reedsail_router/src/source.rs
+++ b/crates/reedsail_router/src/source.rs
@@ -1,6 +1,6 @@
-//! Where the router learns the configuration and the backend servers from.
+//! Sources of the configuration and of the list of backend servers.
 //!
-//! The adapter of a platform implements these; they translate, and decide nothing.
+//! The adapter of a platform implements these traits. An implementation translates, and makes no decisions.
 
 use reedsail_core::StorePosition;
 use reedsail_dispatch::EvacuationUpdate;
@@ -9,44 +9,44 @@
 
 use crate::Configuration;
 
-/// Why a source gave nothing.
+/// Why a read from a source failed.
 #[derive(Debug, Error)]
 pub enum SourceError {
-    /// It did not answer, or refused.
-    #[error("the store is out of reach: {0}")]
+    /// The store did not answer, or refused the request.
+    #[error("the store is unreachable: {0}")]
     Unreachable(String),
-    /// It answered with what cannot be read.
-    #[error("the store's record cannot be read: {0}")]
+    /// The store answered with a record that cannot be parsed.
+    #[error("cannot parse the record of the store: {0}")]
     Unreadable(String),
 }
 
-/// What the operators wrote since the last read.
+/// What operators wrote since the last read.
 #[derive(Debug, Default)]
 pub struct OperatorUpdate {
-    /// The newest configuration if there is one that was not returned before, or what is wrong with it.
+    /// The newest configuration if it was not returned before, or the fault in it.
     pub configuration: Option<Result<Configuration, SourceError>>,
-    /// What was said of the evacuation of failure domains.
+    /// Changes of the evacuations of failure domains.
     pub evacuations: EvacuationUpdate,
 }
 
 impl OperatorUpdate {
-    /// Tells whether the operators wrote nothing.
+    /// Returns whether the operators wrote nothing.
     pub fn is_empty(&self) -> bool {
         self.configuration.is_none() && self.evacuations == EvacuationUpdate::default()
     }
 }
 
-/// Follows what the operators write: the configuration, and evacuations of failure domains.
+/// Follows what operators write: the configuration, and evacuations of failure domains.
 pub trait OperatorSource: 'static {
-    /// Returns what the operators wrote as soon as there is something that was not returned before, or an
-    /// update without anything after `wait_ms`.
+    /// Returns what the operators wrote as soon as there is an update that was not returned before, or an empty update
+    /// after `wait_ms`.
     fn next(&mut self, wait_ms: u64) -> impl Future<Output = Result<OperatorUpdate, SourceError>>;
 }
 
 /// Follows the list of backend servers.
 pub trait ServerSource: 'static {
-    /// Returns at once what has changed since the last call, or since `known_revision` if that is
-    /// later: what lies before it was learned from a peer.
+    /// Returns immediately the changes since the last call, or since `known_revision` if that is later. Changes before
+    /// `known_revision` were learned from a peer.
     fn poll(
         &mut self,
         known_revision: StorePosition,
