--- a/crates/reedsail_router/benches/instance_cost.rs
+++ b/crates/reedsail_router/benches/instance_cost.rs
@@ -1,9 +1,9 @@
-//! What an instance costs: processor microseconds of a real router's threads, on loopback, for a stream, a
-//! whole answer, a refusal, a new connection, a load message and a sum over the fleet.
+//! Measures the processor time of an instance, in microseconds of a real router's threads over loopback. Covers a
+//! stream, a whole answer, a refusal, a new connection, a load message and a fleet-wide load sum.
 //!
-//! `cargo bench -p reedsail_router --bench instance_cost` takes about a minute; the figures stand in docs/CAPACITY.md. Callers and
-//! stand-ins run on other threads of this process and are not counted. Linux only: the times come from
-//! `/proc/self/task`.
+//! `cargo bench -p reedsail_router --bench instance_cost` takes about a minute; docs/CAPACITY.md holds the results.
+//! Callers and stand-in servers run on other threads of this process, whose time is not counted. The benchmark needs
+//! Linux, because the times come from `/proc/self/task`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -26,39 +26,40 @@
 use reedsail_wire::MemberRow;
 
 use common::Caller;
-use common::Site;
+use common::RouterFixture;
 use common::ask;
 
-/// Requests of one kind that are measured.
+/// Number of measured requests of each kind.
 const REQUESTS: u32 = 100;
-/// Events of each stream.
+/// Number of events in each stream.
 const EVENTS: u32 = 40;
-/// Load messages from each peer.
+/// Number of load messages from each peer.
 const MESSAGES_PER_PEER: u32 = 40;
-/// Numbers of peers for which messages are measured.
-const PEERS: [u32; 3] = [9, 59, 85];
-/// Backend servers that a peer's message names.
+/// Numbers of peers for which load messages are measured.
+const PEER_COUNTS: [u32; 3] = [9, 59, 85];
+/// Number of backend servers in a peer's message.
 const SERVER_ROWS: u32 = 40;
-/// Workspaces that a peer's message names.
+/// Number of workspaces in a peer's message.
 const WORKSPACE_ROWS: u32 = 30;
-/// Prompt segments that a peer's message names.
+/// Number of prompt segments in a peer's message.
 const PREFIX_ROWS: u32 = 8;
-/// Sums over the fleet that are measured, and instances, backend servers, workspaces and segments of each.
-const SUMS: u32 = 400;
+/// Number of measured fleet-wide load sums, followed by the numbers of instances, backend servers, workspaces and
+/// prompt segments in each.
+const FLEET_SUMS: u32 = 400;
 const FLEET_INSTANCES: u32 = 295;
 const FLEET_SERVERS: u32 = 325;
 const FLEET_WORKSPACES: u32 = 60;
 const FLEET_PREFIXES: u32 = 60;
-/// Members that a sum includes.
+/// Number of members that a fleet-wide sum includes.
 const FLEET_MEMBERS: u32 = 59;
 
-/// Processor microseconds that the router's threads have used so far, by the thread's name.
+/// Returns the processor time that the router's threads have used so far, in microseconds, by thread name.
 fn used_us() -> BTreeMap<String, f64> {
     let mut used = BTreeMap::new();
     for task in std::fs::read_dir("/proc/self/task").unwrap() {
-        let folder = task.unwrap().path();
-        let name = std::fs::read_to_string(folder.join("comm")).unwrap();
-        let times = std::fs::read_to_string(folder.join("schedstat")).unwrap();
+        let directory = task.unwrap().path();
+        let name = std::fs::read_to_string(directory.join("comm")).unwrap();
+        let times = std::fs::read_to_string(directory.join("schedstat")).unwrap();
         let used_ns: f64 = times.split(' ').next().unwrap().parse().unwrap();
         *used.entry(name.trim().to_owned()).or_default() += used_ns / 1_000.0;
     }
@@ -67,19 +68,19 @@
 
 fn report(what: &str, before: &BTreeMap<String, f64>, count: u32) {
     let after = used_us();
-    let each = |thread: &str| {
+    let per_item = |thread: &str| {
         let before = before.get(thread).copied().unwrap_or(0.0);
         (after.get(thread).copied().unwrap_or(before) - before) / f64::from(count)
     };
     println!(
         "{what:<40} {:>9.1} us traffic {:>9.1} us control",
-        each("traffic"),
-        each("control")
+        per_item("traffic"),
+        per_item("control")
     );
 }
 
-async fn measure_requests(site: &Site, what: &str, path: &str, headers: &[(&str, &str)]) {
-    let mut caller = Caller::connect(site.callers()).await;
+async fn measure_requests(fixture: &RouterFixture, what: &str, path: &str, headers: &[(&str, &str)]) {
+    let mut caller = Caller::connect(fixture.callers()).await;
     for _ in 0..REQUESTS / 10 {
         caller.ask(path, headers).await;
     }
@@ -90,10 +91,10 @@
     report(what, &before, REQUESTS);
 }
 
-async fn measure_connections(site: &Site) {
+async fn measure_connections(fixture: &RouterFixture) {
     let before = used_us();
     for _ in 0..REQUESTS {
-        ask(site.callers(), "/nowhere/", &[]).await;
+        ask(fixture.callers(), "/nowhere/", &[]).await;
     }
     report("a new connection with one refusal", &before, REQUESTS);
 }
@@ -160,7 +161,7 @@
     }
 }
 
-/// Makes a sum over the fleet as an aggregator sends it.
+/// Builds a fleet-wide load sum as an aggregator sends it.
 fn fleet_sum(sequence: u32) -> LoadMessage {
     let included = |row: u32| IncludedRow {
         instance: NameHash::of(&format!("peer-{row}")),
@@ -177,15 +178,15 @@
     }
 }
 
-/// Measures what receiving sums over the fleet takes, with the reports that the instance sends meanwhile.
+/// Measures the cost of receiving fleet-wide load sums, including the reports that the instance sends meanwhile.
 async fn measure_sums() {
-    let site = Site::start().await;
-    let target: SocketAddr = site.router.addresses().peers;
+    let fixture = RouterFixture::start().await;
+    let target: SocketAddr = fixture.router.addresses().peers;
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut before = used_us();
     let mut bytes = 0;
-    for sequence in 1..=SUMS + SUMS / 4 {
-        if sequence == SUMS / 4 + 1 {
+    for sequence in 1..=FLEET_SUMS + FLEET_SUMS / 4 {
+        if sequence == FLEET_SUMS / 4 + 1 {
             before = used_us();
         }
         let datagram = fleet_sum(sequence).encode().unwrap();
@@ -194,14 +195,14 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
-    report(&format!("a sum over the fleet of {bytes} bytes"), &before, SUMS);
+    report(&format!("a sum over the fleet of {bytes} bytes"), &before, FLEET_SUMS);
 }
 
-/// Sends messages of so many peers, and measures what receiving one takes, with what the instance sends
+/// Sends load messages of `peers` peers, and measures the cost of receiving one, including what the instance sends
 /// meanwhile.
 async fn measure_messages(peers: u32) {
-    let site = Site::start().await;
-    let target: SocketAddr = site.router.addresses().peers;
+    let fixture = RouterFixture::start().await;
+    let target: SocketAddr = fixture.router.addresses().peers;
     let sockets: Vec<UdpSocket> = (0..peers)
         .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
         .collect();
@@ -240,22 +241,22 @@
         .filter_level(log::LevelFilter::Info)
         .target(env_logger::Target::Pipe(Box::new(std::io::sink())))
         .init();
-    // One site at a time: the threads of another would be counted as well.
+    // Runs one router at a time, because the threads of another one would be counted as well.
     {
-        let site = Site::start_with(|settings| settings.log_lines_per_s = 50).await;
+        let fixture = RouterFixture::start_with(|settings| settings.log_lines_per_s = 50).await;
         let prompt = [("reedsail-prompt", "a1:500,b2:1200")];
         let stream = RoutedAnswer::Stream {
             events: EVENTS,
             pause_after: None,
         };
-        site.llm.answer_with(&[stream]);
-        measure_requests(&site, "a stream of 40 events", "/stream/", &prompt).await;
-        measure_requests(&site, "a resumable stream of 40 events", "/resume/", &prompt).await;
-        measure_requests(&site, "a whole answer", "/again/", &[]).await;
-        measure_requests(&site, "a refusal", "/nowhere/", &[]).await;
-        measure_connections(&site).await;
+        fixture.llm.answer_with(&[stream]);
+        measure_requests(&fixture, "a stream of 40 events", "/stream/", &prompt).await;
+        measure_requests(&fixture, "a resumable stream of 40 events", "/resume/", &prompt).await;
+        measure_requests(&fixture, "a whole answer", "/again/", &[]).await;
+        measure_requests(&fixture, "a refusal", "/nowhere/", &[]).await;
+        measure_connections(&fixture).await;
     }
-    for peers in PEERS {
+    for peers in PEER_COUNTS {
         measure_messages(peers).await;
     }
     measure_sums().await;
--- a/crates/reedsail_router/src/control/follow.rs
+++ b/crates/reedsail_router/src/control/follow.rs
@@ -106,7 +106,10 @@
 }
 
 /// Sends the operators' update to the actor. Returns the fault if its configuration cannot be read.
-async fn send_operator_update<H: HeaderProtocol>(update: OperatorUpdate, control: &Address<Control<H>>) -> Option<String> {
+async fn send_operator_update<H: HeaderProtocol>(
+    update: OperatorUpdate,
+    control: &Address<Control<H>>,
+) -> Option<String> {
     // The actor ends only with the instance.
     let _ = control.send(EvacuationsRead(update.evacuations)).await;
     match update.configuration? {
--- a/crates/reedsail_router/tests/callers_gone.rs
+++ b/crates/reedsail_router/tests/callers_gone.rs
@@ -1,4 +1,5 @@
-//! Callers that leave at each step of a request: nothing goes on for them.
+//! Guards against work for callers that are gone. A caller disconnects at each step of a request, and the router must
+//! cancel the request everywhere.
 
 mod common;
 
@@ -12,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 use common::Caller;
-use common::Site;
+use common::RouterFixture;
 use common::ask;
 use common::read;
 use common::read_body;
@@ -24,7 +25,7 @@
     pause_after: Some(2),
 };
 
-/// Asks in a task; ending it closes the caller's connection.
+/// Sends a request in a task. Aborting the task closes the caller's connection.
 fn ask_in_task(callers: SocketAddr, path: &'static str) -> JoinHandle<()> {
     tokio::spawn(async move {
         let mut caller = Caller::connect(callers).await;
@@ -42,51 +43,51 @@
 
 #[tokio::test]
 async fn a_request_whose_caller_disconnects_during_the_body_reaches_no_server() {
-    let site = Site::start().await;
-    let mut caller = TcpStream::connect(site.callers()).await.unwrap();
+    let fixture = RouterFixture::start().await;
+    let mut caller = TcpStream::connect(fixture.callers()).await.unwrap();
     let head = "POST /again/ HTTP/1.1\r\nhost: huts.example\r\nauthorization: Bearer key-1\r\n\
                 reedsail-request-id: id-1\r\ncontent-length: 1000\r\n\r\nbegun";
     caller.write_all(head.as_bytes()).await.unwrap();
     wait_for("an open request", async || {
-        let metrics = ask(site.router.addresses().admin, "/metrics", &[]).await;
+        let metrics = ask(fixture.router.addresses().admin, "/metrics", &[]).await;
         metrics.text().contains("reedsail_router_open_requests 1")
     })
     .await;
     drop(caller);
     wait_for("no open request", async || {
-        let metrics = ask(site.router.addresses().admin, "/metrics", &[]).await;
+        let metrics = ask(fixture.router.addresses().admin, "/metrics", &[]).await;
         metrics.text().contains("reedsail_router_open_requests 0")
     })
     .await;
-    assert!(site.app.runs().is_empty());
-    assert_eq!(ask(site.callers(), "/again/", &[]).await.status, StatusCode::OK);
-    assert_eq!(site.app.runs().len(), 1);
+    assert!(fixture.app.runs().is_empty());
+    assert_eq!(ask(fixture.callers(), "/again/", &[]).await.status, StatusCode::OK);
+    assert_eq!(fixture.app.runs().len(), 1);
 }
 
 #[tokio::test]
 async fn a_caller_that_disconnects_during_a_retry_cancels_it() {
-    let site = Site::start().await;
-    let second = site.add_server("app-2", "app").await;
-    let script = [RoutedAnswer::NotRun, RoutedAnswer::Silent];
-    site.app.answer_with(&script[..1]);
-    second.answer_with(&script[1..]);
-    // Whichever is tried first: in the end the request waits at the second one.
-    let asking = ask_in_task(site.callers(), "/again/");
+    let fixture = RouterFixture::start().await;
+    let second = fixture.add_server("app-2", "app").await;
+    let answers = [RoutedAnswer::NotRun, RoutedAnswer::Silent];
+    fixture.app.answer_with(&answers[..1]);
+    second.answer_with(&answers[1..]);
+    // The request ends up at the second server, no matter which server is tried first.
+    let request_task = ask_in_task(fixture.callers(), "/again/");
     wait_for("a run there", async || !second.runs().is_empty()).await;
-    asking.abort();
+    request_task.abort();
     wait_for_cancel(&second, 0).await;
 }
 
 #[tokio::test]
 async fn a_caller_that_disconnects_after_its_stream_resumed_cancels_the_new_run() {
-    let site = Site::start().await;
-    site.llm.answer_with(&[STREAM]);
-    let mut caller = Caller::connect(site.callers()).await;
+    let fixture = RouterFixture::start().await;
+    fixture.llm.answer_with(&[STREAM]);
+    let mut caller = Caller::connect(fixture.callers()).await;
     let mut body = caller.send(request("/resume/", &[])).await.into_body();
     read_body(&mut body, Some("id: 2")).await;
-    let second = site.add_server("llm-2", "llm").await;
+    let second = fixture.add_server("llm-2", "llm").await;
     second.answer_with(&[RoutedAnswer::Silent]);
-    site.llm.crash();
+    fixture.llm.crash();
     wait_for("a run elsewhere", async || !second.runs().is_empty()).await;
     drop(body);
     drop(caller);
@@ -95,38 +96,38 @@
 
 #[tokio::test]
 async fn a_caller_that_disconnects_with_an_unread_answer_cancels_the_run() {
-    let site = Site::start().await;
-    site.llm.answer_with(&[RoutedAnswer::Flood {
+    let fixture = RouterFixture::start().await;
+    fixture.llm.answer_with(&[RoutedAnswer::Flood {
         event_bytes: 1 << 16,
         events: 10_000,
         stalled_ms: 60_000,
     }]);
     for path in ["/stream/", "/resume/"] {
-        let run = site.llm.runs().len();
-        let mut caller = Caller::connect(site.callers()).await;
+        let run = fixture.llm.runs().len();
+        let mut caller = Caller::connect(fixture.callers()).await;
         let mut body = caller.send(request(path, &[])).await.into_body();
         read_body(&mut body, Some("id: 1")).await;
         drop(body);
         drop(caller);
-        wait_for_cancel(&site.llm, run).await;
+        wait_for_cancel(&fixture.llm, run).await;
     }
 }
 
 #[tokio::test]
 #[ignore = "KNOWN-RED.txt"]
 async fn a_caller_that_leaves_with_its_next_request_sent_ends_the_first() {
-    let site = Site::start().await;
-    site.app.answer_with(&[RoutedAnswer::Silent]);
-    let mut caller = TcpStream::connect(site.callers()).await.unwrap();
-    let one = "POST /again/ HTTP/1.1\r\nhost: huts.example\r\nauthorization: Bearer key-1\r\n\
+    let fixture = RouterFixture::start().await;
+    fixture.app.answer_with(&[RoutedAnswer::Silent]);
+    let mut caller = TcpStream::connect(fixture.callers()).await.unwrap();
+    let request_text = "POST /again/ HTTP/1.1\r\nhost: huts.example\r\nauthorization: Bearer key-1\r\n\
                reedsail-request-id: id-1\r\nreedsail-deadline-ms: 60000\r\ncontent-length: 4\r\n\r\nbody";
-    caller.write_all(one.as_bytes()).await.unwrap();
-    wait_for("a run", async || !site.app.runs().is_empty()).await;
-    caller.write_all(one.as_bytes()).await.unwrap();
+    caller.write_all(request_text.as_bytes()).await.unwrap();
+    wait_for("a run", async || !fixture.app.runs().is_empty()).await;
+    caller.write_all(request_text.as_bytes()).await.unwrap();
     drop(caller);
-    wait_for_cancel(&site.app, 0).await;
-    // Else it went on until the route's time-out.
-    let metrics = ask(site.router.addresses().admin, "/metrics", &[]).await;
-    let outcome = "answers_total{outcome=\"caller_gone\"} 1";
-    assert!(metrics.text().contains(outcome), "{}", metrics.text());
+    wait_for_cancel(&fixture.app, 0).await;
+    // Otherwise the request continued until the route's time-out.
+    let metrics = ask(fixture.router.addresses().admin, "/metrics", &[]).await;
+    let metric = "answers_total{outcome=\"caller_gone\"} 1";
+    assert!(metrics.text().contains(metric), "{}", metrics.text());
 }
--- a/crates/reedsail_router/tests/common/mod.rs
+++ b/crates/reedsail_router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router before stand-ins, and callers that keep their connections.
+//! A router with stand-in servers behind it, and callers with persistent connections.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -45,45 +45,46 @@
 
 use test_headers::TestHeaders;
 
-/// The headers in which callers and stand-ins speak in these tests.
+/// The header protocol that callers and stand-in servers use in these tests.
 pub(crate) const HEADERS: TestHeaders = TestHeaders;
 
-/// How long a test waits for a state before it fails.
-pub(crate) const LIMIT: Duration = Duration::from_secs(30);
+/// How long a test waits for a condition before it fails.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a source shows; `None` while the store is out of reach.
-type Shown<T> = watch::Receiver<Option<T>>;
+/// The value that a source returns; `None` while the store is unreachable.
+type SourceValue<T> = watch::Receiver<Option<T>>;
 
 pub(crate) struct MemoryConfiguration {
-    shown: Shown<Configuration>,
-    last: u64,
+    shown: SourceValue<Configuration>,
+    last_version: u64,
 }
 
 impl OperatorSource for MemoryConfiguration {
     async fn next(&mut self, wait_ms: u64) -> Result<OperatorUpdate, SourceError> {
-        let last = self.last;
-        let is_news = |shown: &Option<Configuration>| shown.as_ref().is_none_or(|shown| shown.version > last);
-        let waited = timeout(Duration::from_millis(wait_ms), self.shown.wait_for(is_news)).await;
-        match waited {
+        let last_version = self.last_version;
+        let is_new =
+            |shown: &Option<Configuration>| shown.as_ref().is_none_or(|shown| shown.version > last_version);
+        let result = timeout(Duration::from_millis(wait_ms), self.shown.wait_for(is_new)).await;
+        match result {
             Ok(Ok(shown)) => {
-                let shown = shown.clone().ok_or_else(away)?;
-                self.last = shown.version;
+                let shown = shown.clone().ok_or_else(unavailable)?;
+                self.last_version = shown.version;
                 Ok(OperatorUpdate {
                     configuration: Some(Ok(shown)),
                     ..OperatorUpdate::default()
                 })
             }
-            Ok(Err(_)) => Err(away()),
+            Ok(Err(_)) => Err(unavailable()),
             Err(_) => Ok(OperatorUpdate::default()),
         }
     }
 }
 
-pub(crate) struct MemoryServers(Shown<Vec<ServerRecord>>);
+pub(crate) struct MemoryServers(SourceValue<Vec<ServerRecord>>);
 
 impl ServerSource for MemoryServers {
     async fn poll(&mut self, _: StorePosition) -> Result<ServerUpdate, SourceError> {
-        let records = self.0.borrow().clone().ok_or_else(away)?;
+        let records = self.0.borrow().clone().ok_or_else(unavailable)?;
         Ok(ServerUpdate {
             revision: StorePosition::new(0, 1),
             is_whole: true,
@@ -92,11 +93,11 @@
     }
 }
 
-fn away() -> SourceError {
-    SourceError::Unreachable("the stand-in is away".to_owned())
+fn unavailable() -> SourceError {
+    SourceError::Unreachable("the stand-in store is unavailable".to_owned())
 }
 
-/// The store as all routers of a test see it.
+/// The store that the routers of a test share.
 pub(crate) struct Store {
     pub(crate) configuration: watch::Sender<Option<Configuration>>,
     pub(crate) servers: watch::Sender<Option<Vec<ServerRecord>>>,
@@ -150,7 +151,7 @@
 pub(crate) fn start_at(clock: Clock, store: &Store, settings: RouterSettings) -> RunningRouter<TestHeaders> {
     let configuration = MemoryConfiguration {
         shown: store.configuration.subscribe(),
-        last: 0,
+        last_version: 0,
     };
     let servers = MemoryServers(store.servers.subscribe());
     RunningRouter::start_at(clock, settings, TestHeaders, move || (configuration, servers)).unwrap()
@@ -188,7 +189,8 @@
     }
 }
 
-/// Routes for each kind of request: `/once/`, `/again/`, `/stream/`, `/resume/`, `/open/`.
+/// Returns a configuration with a route for each kind of request: `/once/`, `/again/`, `/stream/`, `/resume/` and
+/// `/open/`.
 pub(crate) fn configuration(version: u64) -> Configuration {
     let again = Route {
         repetition: Repetition::Allowed,
@@ -227,13 +229,13 @@
     }
 }
 
-/// An answer, as far as it came.
+/// An answer, up to where it ended or broke off.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The body ended as the protocol wants it.
+    /// Whether the body ended as the protocol requires.
     pub(crate) is_whole: bool,
 }
 
@@ -272,7 +274,7 @@
     }
 }
 
-/// Makes a request with a key and an id, and whatever else is given.
+/// Builds a request with a key, an id, a deadline, and the given headers, which replace default ones.
 pub(crate) fn request(path: &str, headers: &[(&str, &str)]) -> Request<Full<Bytes>> {
     let mut builder = Request::builder()
         .method("POST")
@@ -299,7 +301,7 @@
     }
 }
 
-/// Reads on until a text has come, or to the end; tells whether the body ended as it should.
+/// Reads the body until it contains `until`, or to its end. Returns the bytes, and whether no frame failed.
 pub(crate) async fn read_body(body: &mut Incoming, until: Option<&str>) -> (Bytes, bool) {
     let mut bytes = Vec::new();
     let mut is_whole = true;
@@ -316,7 +318,7 @@
     (Bytes::from(bytes), is_whole)
 }
 
-/// Asks on a fresh connection.
+/// Sends a request on a new connection and reads the answer.
 pub(crate) async fn ask(address: SocketAddr, path: &str, headers: &[(&str, &str)]) -> Reply {
     Caller::connect(address).await.ask(path, headers).await
 }
@@ -330,35 +332,35 @@
     wait_for("readiness", async || is_ready(router).await).await;
 }
 
-/// Waits for a state, with a long limit.
-pub(crate) async fn wait_for(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until `condition` holds; fails the test after a long time-out.
+pub(crate) async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(timeout(LIMIT, waiting).await.is_ok(), "no {what}");
+    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "no {what}");
 }
 
-/// One server of each service, with a ready router before them.
-pub(crate) struct Site {
+/// A ready router with one server of each service behind it.
+pub(crate) struct RouterFixture {
     pub(crate) store: Store,
     pub(crate) app: RoutedStandin,
     pub(crate) llm: RoutedStandin,
     pub(crate) router: RunningRouter<TestHeaders>,
 }
 
-impl Site {
+impl RouterFixture {
     pub(crate) async fn start() -> Self {
         Self::start_with(|_| {}).await
     }
 
-    /// Starts with settings that differ from the usual ones.
+    /// Starts with changed default settings.
     pub(crate) async fn start_with(change: impl FnOnce(&mut RouterSettings)) -> Self {
         Self::start_at(Clock::default(), change).await
     }
 
-    /// Starts with a router that judges everything by this clock.
+    /// Starts with a router that uses the given clock for all time measurements.
     pub(crate) async fn start_at(clock: Clock, change: impl FnOnce(&mut RouterSettings)) -> Self {
         let app = RoutedStandin::start().await.unwrap();
         let llm = RoutedStandin::start().await.unwrap();
@@ -380,7 +382,7 @@
         self.router.addresses().callers
     }
 
-    /// Adds a second server of a service, and waits until the router may use it.
+    /// Adds a second server of a service, and waits until the router lists it.
     pub(crate) async fn add_server(&self, id: &str, service: &str) -> RoutedStandin {
         let server = RoutedStandin::start().await.unwrap();
         let added = record(id, service, &server);
--- a/crates/reedsail_router/tests/common/test_headers.rs
+++ b/crates/reedsail_router/tests/common/test_headers.rs
@@ -1,4 +1,4 @@
-//! The headers in which callers and stand-ins speak in the router's tests.
+//! The header protocol that callers and stand-in servers use in the router's tests.
 
 use hyper::HeaderMap;
 use hyper::StatusCode;
@@ -18,28 +18,28 @@
 
 /// The id of a request, echoed by the server.
 const REQUEST_ID: &str = "reedsail-request-id";
-/// How many milliseconds the caller waits.
+/// The caller's deadline, in milliseconds.
 const DEADLINE: &str = "reedsail-deadline-ms";
-/// The parts of a prompt, as `ID:TOKENS` in hexadecimal and decimal, split by commas.
+/// The segments of a prompt, as `ID:TOKENS` in hexadecimal and decimal, separated by commas.
 const PROMPT: &str = "reedsail-prompt";
-/// The most tokens of the answer.
+/// The maximum number of tokens of the answer.
 const OUTPUT_TOKENS: &str = "reedsail-output-tokens";
-/// The server that is meant.
+/// The id of the server that the request is sent to.
 const SERVER: &str = "reedsail-server";
 /// The workspace that the request counts against.
 const WORKSPACE: &str = "reedsail-workspace";
-/// A server to copy from.
+/// The server to copy the prompt cache from.
 const COPY_FROM: &str = "reedsail-copy-from";
-/// The last event that the caller has.
+/// The id of the last event that the caller received.
 const RESUME_AFTER: &str = "last-event-id";
-/// Makes the router panic while it writes the request on.
+/// Makes the router panic while it writes the forwarded request.
 const PANIC: &str = "x-panic";
-/// Set by a server that drains.
+/// Set by a draining server.
 const DRAINING: &str = "reedsail-draining";
 /// Set by a server that did not run the request.
 const RAN: &str = "reedsail-ran";
 
-/// Headers of which all but one begin with `reedsail-`.
+/// A protocol whose headers begin with `reedsail-`, except `last-event-id` and `x-panic`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TestHeaders;
 
--- a/crates/reedsail_router/tests/control_state.rs
+++ b/crates/reedsail_router/tests/control_state.rs
@@ -1,4 +1,4 @@
-//! What a router believes: configurations, servers, peers, and planned stops.
+//! The state of a router's control thread: configurations, servers and peers. Also covers planned stops.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use reedsail_standin::RoutedStandin;
 
 use common::Caller;
-use common::Site;
+use common::RouterFixture;
 use common::Store;
 use common::ask;
 use common::configuration;
@@ -43,14 +43,14 @@
 
 #[tokio::test]
 async fn a_configuration_applies_to_open_connections_and_never_goes_back() {
-    let site = Site::start().await;
-    let mut caller = Caller::connect(site.callers()).await;
+    let fixture = RouterFixture::start().await;
+    let mut caller = Caller::connect(fixture.callers()).await;
     assert_eq!(caller.ask("/once/", &[]).await.status, StatusCode::OK);
     let mut newer = configuration(5);
     newer.workspaces[0].keys.remove(0);
     newer.routes.retain(|route| route.name != "again");
-    site.store.configuration.send_replace(Some(newer));
-    wait_for("version 5", async || site.router.configuration_version() == 5).await;
+    fixture.store.configuration.send_replace(Some(newer));
+    wait_for("version 5", async || fixture.router.configuration_version() == 5).await;
     assert_eq!(caller.ask("/once/", &[]).await.status, StatusCode::UNAUTHORIZED);
     let other_key = [("authorization", "Bearer key-2")];
     assert_eq!(caller.ask("/once/", &other_key).await.status, StatusCode::OK);
@@ -58,64 +58,64 @@
         caller.ask("/again/", &other_key).await.status,
         StatusCode::NOT_FOUND
     );
-    // An older version, as a store that was set back would show it, changes nothing.
-    site.store.configuration.send_replace(Some(configuration(4)));
+    // An older version, as from a store that was restored from a backup, changes nothing.
+    fixture.store.configuration.send_replace(Some(configuration(4)));
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(site.router.configuration_version(), 5);
+    assert_eq!(fixture.router.configuration_version(), 5);
 }
 
 #[tokio::test]
 async fn a_draining_server_gets_no_new_request_and_finishes_its_own() {
-    let site = Site::start().await;
-    let second = site.add_server("llm-2", "llm").await;
-    let slow = RoutedAnswer::Stream {
+    let fixture = RouterFixture::start().await;
+    let second = fixture.add_server("llm-2", "llm").await;
+    let slow_stream = RoutedAnswer::Stream {
         events: 60,
         pause_after: None,
     };
-    site.llm.answer_with(&[slow]);
-    second.answer_with(&[slow]);
-    let mut caller = Caller::connect(site.callers()).await;
+    fixture.llm.answer_with(&[slow_stream]);
+    second.answer_with(&[slow_stream]);
+    let mut caller = Caller::connect(fixture.callers()).await;
     let response = caller.send(request("/stream/", &[])).await;
-    let asking = tokio::spawn(read(response));
-    let leaving = if site.llm.runs().is_empty() {
+    let stream_task = tokio::spawn(read(response));
+    let draining_id = if fixture.llm.runs().is_empty() {
         "llm-2"
     } else {
         "llm-1"
     };
-    site.store.servers.send_modify(|records| {
+    fixture.store.servers.send_modify(|records| {
         for record in records.as_mut().unwrap() {
-            record.is_draining = record.id == leaving;
+            record.is_draining = record.id == draining_id;
         }
     });
-    let admin = site.router.addresses().admin;
+    let admin = fixture.router.addresses().admin;
     wait_for("departure", async || {
         ask(admin, "/servers", &[]).await.text().contains("true")
     })
     .await;
-    let (gone, stays) = if leaving == "llm-1" {
-        (&site.llm, &second)
+    let (draining, remaining) = if draining_id == "llm-1" {
+        (&fixture.llm, &second)
     } else {
-        (&second, &site.llm)
+        (&second, &fixture.llm)
     };
     for _ in 0..5 {
-        assert!(ask(site.callers(), "/stream/", &[]).await.is_whole);
+        assert!(ask(fixture.callers(), "/stream/", &[]).await.is_whole);
     }
-    assert_eq!((gone.runs().len(), stays.runs().len()), (1, 5));
-    assert!(asking.await.unwrap().is_whole);
+    assert_eq!((draining.runs().len(), remaining.runs().len()), (1, 5));
+    assert!(stream_task.await.unwrap().is_whole);
 }
 
 #[tokio::test]
 async fn an_instance_that_the_store_rejects_learns_from_its_peers() {
-    let site = Site::start().await;
-    let away = Store::new(None, None);
+    let fixture = RouterFixture::start().await;
+    let unavailable_store = Store::new(None, None);
     let mut settings = settings("hall-a-2");
-    settings.seeds = vec![site.router.addresses().peers];
-    let router = start(&away, settings);
+    settings.seeds = vec![fixture.router.addresses().peers];
+    let router = start(&unavailable_store, settings);
     wait_until_ready(&router).await;
     let callers = router.addresses().callers;
     assert_eq!(ask(callers, "/once/", &[]).await.status, StatusCode::OK);
-    // So it does later on, and of servers as well.
-    site.store.configuration.send_replace(Some(Configuration {
+    // The instance learns of later configurations from its peers too.
+    fixture.store.configuration.send_replace(Some(Configuration {
         routes: Vec::new(),
         ..configuration(9)
     }));
@@ -125,26 +125,26 @@
 
 #[tokio::test]
 async fn a_planned_stop_finishes_accepted_requests_and_closes_connections() {
-    let site = Site::start().await;
-    let slow = RoutedAnswer::Stream {
+    let fixture = RouterFixture::start().await;
+    let slow_stream = RoutedAnswer::Stream {
         events: 150,
         pause_after: None,
     };
-    site.llm.answer_with(&[slow]);
-    let callers = site.callers();
-    let readiness = site.router.addresses().readiness;
+    fixture.llm.answer_with(&[slow_stream]);
+    let callers = fixture.callers();
+    let readiness = fixture.router.addresses().readiness;
     let mut streaming = Caller::connect(callers).await;
     let response = streaming.send(request("/stream/", &[])).await;
     let stream = tokio::spawn(read(response));
-    let mut kept = Caller::connect(callers).await;
-    assert_eq!(kept.ask("/once/", &[]).await.header("connection"), "");
-    let router = site.router;
-    let stopping = tokio::spawn(router.close());
+    let mut kept_alive = Caller::connect(callers).await;
+    assert_eq!(kept_alive.ask("/once/", &[]).await.header("connection"), "");
+    let router = fixture.router;
+    let stop_task = tokio::spawn(router.close());
     wait_for("not ready", async || {
         ask(readiness, "/ready", &[]).await.status == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
-    let reply = kept.ask("/once/", &[]).await;
+    let reply = kept_alive.ask("/once/", &[]).await;
     assert_eq!(
         (reply.status, reply.header("connection")),
         (StatusCode::OK, "close")
@@ -152,23 +152,23 @@
     let reply = stream.await.unwrap();
     assert!(reply.is_whole);
     assert_eq!(reply.text().matches("data:").count(), 150);
-    assert!(stopping.await.unwrap(), "every request was finished");
+    assert!(stop_task.await.unwrap(), "every request was finished");
 }
 
 #[tokio::test]
 async fn late_in_a_stop_only_requests_that_end_in_time_are_accepted() {
-    let site = Site::start_with(|settings| settings.stop.end_ms = 15_000).await;
-    let endless = RoutedAnswer::Stream {
+    let fixture = RouterFixture::start_with(|settings| settings.stop.end_ms = 15_000).await;
+    let endless_stream = RoutedAnswer::Stream {
         events: 9,
         pause_after: Some(2),
     };
-    site.llm.answer_with(&[endless]);
-    let callers = site.callers();
+    fixture.llm.answer_with(&[endless_stream]);
+    let callers = fixture.callers();
     let mut streaming = Caller::connect(callers).await;
     let long = [("reedsail-deadline-ms", "60000")];
-    let open = streaming.send(request("/stream/", &long)).await;
-    let stopping = tokio::spawn(site.router.close());
-    // The stream keeps the router from ending once new requests are no longer taken.
+    let open_response = streaming.send(request("/stream/", &long)).await;
+    let stop_task = tokio::spawn(fixture.router.close());
+    // The open stream keeps the router running after it stops accepting new requests.
     wait_for("refusal", async || {
         ask(callers, "/open/", &long).await.text().starts_with("stopping")
     })
@@ -179,34 +179,34 @@
         (reply.status, reply.header("connection")),
         (StatusCode::OK, "close")
     );
-    drop(open);
+    drop(open_response);
     drop(streaming);
-    assert!(stopping.await.unwrap());
+    assert!(stop_task.await.unwrap());
 }
 
 #[tokio::test]
 async fn a_router_on_port_zero_finds_a_port_free_for_both_protocols() {
-    // So many ports are taken for TCP that one of these starts would meet one of them.
-    let taken: Vec<_> = (0..700)
+    // So many TCP ports are in use that at least one of these starts gets a UDP port whose TCP port is in use.
+    let used_ports: Vec<_> = (0..700)
         .map_while(|_| std::net::TcpListener::bind("127.0.0.1:0").ok())
         .collect();
     let store = Store::new(None, None);
     for _ in 0..60 {
         start(&store, settings("hall-a-1")).kill();
     }
-    drop(taken);
+    drop(used_ports);
 }
 
 #[tokio::test]
 async fn a_peer_with_an_unknown_list_digest_gets_gone_and_fetches_the_whole_list() {
-    let site = Site::start().await;
-    let admin = site.router.addresses().admin;
+    let fixture = RouterFixture::start().await;
+    let admin = fixture.router.addresses().admin;
     let unknown = ask(admin, "/servers?digest=00000000000000ff", &[]).await;
     assert_eq!(unknown.status, StatusCode::GONE);
     let whole = ask(admin, "/servers", &[]).await;
     assert_eq!(whole.status, StatusCode::OK);
     assert!(whole.text().contains("app-1") && whole.text().contains("llm-1"));
-    // Before the first server was listed the digest was zero, and everything has changed since.
+    // Before the first server was listed the digest was zero, so the difference contains all servers.
     let difference = ask(admin, "/servers?digest=0000000000000000", &[]).await;
     assert_eq!(difference.status, StatusCode::OK);
     assert!(
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What operators and other instances see of a router, pinned: settings, metrics, log lines, and the
-//! pages that peers fetch. A change of a snapshot here changes a name that others rely on.
+//! Snapshots of a router's interface to operators and other instances: settings, metrics, log lines, and the pages that
+//! peers fetch. A changed snapshot means a changed name that operators or other instances rely on.
 
 mod common;
 
@@ -29,7 +29,7 @@
 
 use common::Caller;
 use common::HEADERS;
-use common::Site;
+use common::RouterFixture;
 use common::Store;
 use common::ask;
 use common::configuration;
@@ -65,7 +65,7 @@
 log_lines_per_s: 17
 ";
 
-const LEAST_SETTINGS: &str = "\
+const MINIMAL_SETTINGS: &str = "\
 instance: hall-a-1
 failure_domain: hall-a
 listen: {callers: 127.0.0.1:1, readiness: 127.0.0.1:2, admin: 127.0.0.1:3, peers: 127.0.0.1:4}
@@ -73,7 +73,7 @@
 store: 127.0.0.1:5
 ";
 
-/// Shows every value under the key that operators know it by.
+/// Lists every value under its key in the settings file.
 fn shown(read: &RouterSettings) -> String {
     let listen = read.listen;
     let (stop, dispatch) = (read.stop, read.dispatch);
@@ -112,7 +112,7 @@
     );
     insta::assert_snapshot!(
         "settings_least",
-        shown(&RouterSettings::read(LEAST_SETTINGS).unwrap())
+        shown(&RouterSettings::read(MINIMAL_SETTINGS).unwrap())
     );
 }
 
@@ -136,7 +136,7 @@
         "settings_faults",
         render_faults(&RouterSettings::read(bad).unwrap_err())
     );
-    let order = format!("{LEAST_SETTINGS}stop: {{accept_ms: 9, end_ms: 8}}\n");
+    let order = format!("{MINIMAL_SETTINGS}stop: {{accept_ms: 9, end_ms: 8}}\n");
     insta::assert_snapshot!(
         "settings_order",
         render_faults(&RouterSettings::read(&order).unwrap_err())
@@ -149,15 +149,15 @@
 
 #[tokio::test]
 async fn peer_pages_keep_their_format() {
-    let site = Site::start().await;
-    let peers = site.router.addresses().peers;
+    let fixture = RouterFixture::start().await;
+    let peers = fixture.router.addresses().peers;
     let shown = ask(peers, "/configuration", &[]).await;
     assert_eq!(shown.header("content-type"), "application/json");
     insta::assert_snapshot!("page_configuration", shown.text());
     let servers = ask(peers, "/servers", &[]).await;
     assert_eq!(servers.header("content-type"), "application/json");
     let mut text = servers.text().to_owned();
-    for (server, name) in [(&site.app, "APP"), (&site.llm, "LLM")] {
+    for (server, name) in [(&fixture.app, "APP"), (&fixture.llm, "LLM")] {
         text = text.replace(&server.address().to_string(), name);
     }
     let mut parsed: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -167,7 +167,7 @@
     insta::assert_snapshot!("page_servers", parsed.to_string());
 }
 
-/// Returns the names of the metrics of a page, each with its labels and their values.
+/// Returns the names of the metrics on a page, each with its labels and their values.
 fn metric_names(page: &str) -> String {
     let mut names = BTreeSet::new();
     for line in page.lines().filter(|line| !line.starts_with('#')) {
@@ -178,8 +178,8 @@
 
 #[tokio::test]
 async fn metrics_keep_their_names_and_labels() {
-    let site = Site::start().await;
-    let second = site.add_server("app-2", "app").await;
+    let fixture = RouterFixture::start().await;
+    let second = fixture.add_server("app-2", "app").await;
     let fails = RoutedAnswer::Whole {
         status: 500,
         bytes: 1,
@@ -188,17 +188,17 @@
         status: 200,
         bytes: 1,
     };
-    for (bad, good) in [(&site.app, &second), (&second, &site.app)] {
+    for (bad, good) in [(&fixture.app, &second), (&second, &fixture.app)] {
         bad.answer_with(&[fails]);
         good.answer_with(&[whole]);
-        ask(site.callers(), "/again/", &[]).await;
+        ask(fixture.callers(), "/again/", &[]).await;
     }
-    ask(site.callers(), "/nowhere/", &[]).await;
+    ask(fixture.callers(), "/nowhere/", &[]).await;
     let mut other = settings("hall-a-2");
-    other.seeds = vec![site.router.addresses().peers];
+    other.seeds = vec![fixture.router.addresses().peers];
     let other = start(&Store::new(None, None), other);
     wait_until_ready(&other).await;
-    let admin = site.router.addresses().admin;
+    let admin = fixture.router.addresses().admin;
     wait_for("every metric", async || {
         let page = ask(admin, "/metrics", &[]).await;
         let page = page.text();
@@ -211,7 +211,7 @@
     insta::assert_snapshot!("metrics", metric_names(page.text()));
 }
 
-/// Keeps every log line of this process.
+/// A logger that keeps every log line of this process.
 struct Lines(Mutex<Vec<String>>);
 
 static LINES: Lines = Lines(Mutex::new(Vec::new()));
@@ -242,16 +242,16 @@
     wait_for(kind.name(), async || has_line(kind, text)).await;
 }
 
-/// A source that says what it is handed.
-struct Handed<T>(mpsc::UnboundedReceiver<Result<T, SourceError>>);
+/// A source that returns the updates of a channel.
+struct ChannelSource<T>(mpsc::UnboundedReceiver<Result<T, SourceError>>);
 
-impl OperatorSource for Handed<OperatorUpdate> {
+impl OperatorSource for ChannelSource<OperatorUpdate> {
     async fn next(&mut self, _: u64) -> Result<OperatorUpdate, SourceError> {
         self.0.recv().await.unwrap()
     }
 }
 
-impl ServerSource for Handed<ServerUpdate> {
+impl ServerSource for ChannelSource<ServerUpdate> {
     async fn poll(&mut self, _: StorePosition) -> Result<ServerUpdate, SourceError> {
         self.0.recv().await.unwrap()
     }
@@ -270,14 +270,14 @@
     }
 }
 
-fn configured(configuration: Result<Configuration, SourceError>) -> OperatorUpdate {
+fn configuration_update(configuration: Result<Configuration, SourceError>) -> OperatorUpdate {
     OperatorUpdate {
         configuration: Some(configuration),
         ..OperatorUpdate::default()
     }
 }
 
-fn evacuated(revision: u64, is_active: bool) -> OperatorUpdate {
+fn evacuation_update(revision: u64, is_active: bool) -> OperatorUpdate {
     let row = EvacuationRow {
         failure_domain: NameHash::of("hall-a"),
         revision: StorePosition::new(0, revision),
@@ -292,56 +292,56 @@
     }
 }
 
-/// Brings about every change of what a router believes.
-async fn change_beliefs() {
+/// Triggers every kind of change of a router's control state.
+async fn trigger_state_changes() {
     let (configurations, source) = mpsc::unbounded_channel();
     let (servers, server_source) = mpsc::unbounded_channel();
-    let make = move || (Handed(source), Handed(server_source));
-    let router = RunningRouter::start(settings("hall-b-1"), HEADERS, make).unwrap();
+    let make_sources = move || (ChannelSource(source), ChannelSource(server_source));
+    let router = RunningRouter::start(settings("hall-b-1"), HEADERS, make_sources).unwrap();
     let mut revision = 0;
-    let mut show = |changes: Vec<ServerChange>| {
+    let mut send_changes = |changes: Vec<ServerChange>| {
         revision += 1;
-        let news = ServerUpdate {
+        let update = ServerUpdate {
             revision: StorePosition::new(0, revision),
             is_whole: false,
             changes,
         };
-        servers.send(Ok(news)).unwrap();
+        servers.send(Ok(update)).unwrap();
     };
-    configurations.send(Ok(configured(Ok(configuration(1))))).unwrap();
+    configurations.send(Ok(configuration_update(Ok(configuration(1))))).unwrap();
     wait_for_line(EventKind::ConfigurationInForce, "hall-b-1").await;
     let unreadable = SourceError::Unreadable("it is torn".to_owned());
-    configurations.send(Ok(configured(Err(unreadable)))).unwrap();
+    configurations.send(Ok(configuration_update(Err(unreadable)))).unwrap();
     wait_for_line(EventKind::ConfigurationInvalid, "torn").await;
     wait_for_line(EventKind::SourceLost, "hall-b-1").await;
-    configurations.send(Ok(configured(Ok(configuration(2))))).unwrap();
+    configurations.send(Ok(configuration_update(Ok(configuration(2))))).unwrap();
     wait_for_line(EventKind::SourceBack, "hall-b-1").await;
-    show(vec![ServerChange::Announced(server(false))]);
+    send_changes(vec![ServerChange::Announced(server(false))]);
     wait_for_line(EventKind::ServerListed, "hall-b-1").await;
-    let again = ServerRecord {
+    let restarted = ServerRecord {
         born_ms: Some(1_796_246_000_000),
         ..server(false)
     };
-    show(vec![ServerChange::Announced(again.clone())]);
+    send_changes(vec![ServerChange::Announced(restarted.clone())]);
     wait_for_line(EventKind::ServerRestarted, "hall-b-1").await;
-    show(vec![ServerChange::Announced(ServerRecord {
+    send_changes(vec![ServerChange::Announced(ServerRecord {
         cold_left_ms: 2_000,
-        ..again
+        ..restarted
     })]);
     wait_for_line(EventKind::ServerCold, "hall-b-1").await;
     for (revision, is_active) in [(1, true), (2, false)] {
-        configurations.send(Ok(evacuated(revision, is_active))).unwrap();
+        configurations.send(Ok(evacuation_update(revision, is_active))).unwrap();
     }
     wait_for_line(EventKind::DomainEvacuated, "hall-b-1").await;
     wait_for_line(EventKind::DomainReturned, "hall-b-1").await;
-    show(vec![ServerChange::Announced(server(true))]);
+    send_changes(vec![ServerChange::Announced(server(true))]);
     wait_for_line(EventKind::ServerDraining, "hall-b-1").await;
-    show(vec![ServerChange::Unreadable {
+    send_changes(vec![ServerChange::Unreadable {
         id: "app-2".to_owned(),
         fault: "it is torn".to_owned(),
     }]);
     wait_for_line(EventKind::ServerRecordInvalid, "hall-b-1").await;
-    show(vec![ServerChange::Dropped {
+    send_changes(vec![ServerChange::Dropped {
         id: "app-1".to_owned(),
     }]);
     wait_for_line(EventKind::ServerUnlisted, "hall-b-1").await;
@@ -350,10 +350,10 @@
     router.kill();
 }
 
-/// Brings about every outcome of a request that leaves a kind of line of its own.
-async fn send_requests(site: &Site) {
-    let second = site.add_server("llm-2", "llm").await;
-    let breaks = RoutedAnswer::Stream {
+/// Triggers every outcome of a request that has its own kind of log line.
+async fn send_requests(fixture: &RouterFixture) {
+    let second = fixture.add_server("llm-2", "llm").await;
+    let broken_stream = RoutedAnswer::Stream {
         events: 6,
         pause_after: Some(3),
     };
@@ -361,15 +361,15 @@
         events: 6,
         pause_after: None,
     };
-    site.llm.answer_with(&[breaks, whole]);
-    second.answer_with(&[breaks, whole]);
-    let mut caller = Caller::connect(site.callers()).await;
+    fixture.llm.answer_with(&[broken_stream, whole]);
+    second.answer_with(&[broken_stream, whole]);
+    let mut caller = Caller::connect(fixture.callers()).await;
     let mut body = caller.send(request("/resume/", &[])).await.into_body();
     read_body(&mut body, Some("id: 3")).await;
-    let (first, other) = if site.llm.runs().is_empty() {
-        (&second, &site.llm)
+    let (first, other) = if fixture.llm.runs().is_empty() {
+        (&second, &fixture.llm)
     } else {
-        (&site.llm, &second)
+        (&fixture.llm, &second)
     };
     other.answer_with(&[whole]);
     first.crash();
@@ -378,41 +378,41 @@
         status: 500,
         bytes: 1,
     };
-    site.app.answer_with(&[fails]);
-    ask(site.callers(), "/again/", &[]).await;
-    ask(site.callers(), "/nowhere/", &[]).await;
-    site.app.answer_with(&[RoutedAnswer::NotRun]);
-    ask(site.callers(), "/once/", &[]).await;
+    fixture.app.answer_with(&[fails]);
+    ask(fixture.callers(), "/again/", &[]).await;
+    ask(fixture.callers(), "/nowhere/", &[]).await;
+    fixture.app.answer_with(&[RoutedAnswer::NotRun]);
+    ask(fixture.callers(), "/once/", &[]).await;
 }
 
-/// Fills a router with requests that are never answered, and stops it before they are.
+/// Fills a router with requests that are never answered, and stops it with the requests still open.
 async fn stop_a_full_router() {
-    let site = Site::start_with(|settings| {
+    let fixture = RouterFixture::start_with(|settings| {
         "hall-c-1".clone_into(&mut settings.instance);
         settings.memory_mb = 1;
         settings.stop.accept_ms = 10;
         settings.stop.end_ms = 400;
     })
     .await;
-    site.app.answer_with(&[RoutedAnswer::Silent]);
-    let callers = site.callers();
+    fixture.app.answer_with(&[RoutedAnswer::Silent]);
+    let callers = fixture.callers();
     let waiting: Vec<_> = (0..4)
         .map(|_| tokio::spawn(async move { ask(callers, "/once/", &[]).await }))
         .collect();
     wait_for_line(EventKind::CallersShed, "hall-c-1").await;
-    assert!(!site.router.close().await);
-    for asking in waiting {
-        asking.abort();
+    assert!(!fixture.router.close().await);
+    for request_task in waiting {
+        request_task.abort();
     }
 }
 
-/// Returns the fields of each event that was logged, with the values that are names themselves.
-fn forms_of_lines() -> String {
+/// Returns the field names of each logged event, and the values of fields whose values are fixed names.
+fn log_line_formats() -> String {
     const NAMES: &[&str] = &["origin", "outcome", "ran", "source"];
-    let mut forms: BTreeMap<(u16, String), BTreeSet<String>> = BTreeMap::new();
+    let mut fields_by_event: BTreeMap<(u16, String), BTreeSet<String>> = BTreeMap::new();
     for line in LINES.0.lock().unwrap().iter() {
         let event = Event::parse(line).unwrap();
-        let fields = forms.entry((event.number, event.name)).or_default();
+        let fields = fields_by_event.entry((event.number, event.name)).or_default();
         for (name, value) in event.fields {
             fields.insert(if NAMES.contains(&name.as_str()) {
                 format!("{name}={value}")
@@ -425,18 +425,18 @@
         let fields: Vec<&str> = fields.iter().map(String::as_str).collect();
         format!("{number} {name}: {}\n", fields.join(", "))
     };
-    forms.iter().map(row).collect()
+    fields_by_event.iter().map(row).collect()
 }
 
 #[tokio::test]
 async fn log_lines_keep_their_numbers_names_and_fields() {
     log::set_logger(&LINES).unwrap();
     log::set_max_level(log::LevelFilter::Trace);
-    change_beliefs().await;
-    let site = Site::start().await;
-    send_requests(&site).await;
+    trigger_state_changes().await;
+    let fixture = RouterFixture::start().await;
+    send_requests(&fixture).await;
     let mut other = settings("hall-a-2");
-    other.seeds = vec![site.router.addresses().peers];
+    other.seeds = vec![fixture.router.addresses().peers];
     let other = start(&Store::new(None, None), other);
     wait_for_line(EventKind::PeerAlive, "\"hall-a-1\"").await;
     wait_until_ready(&other).await;
@@ -449,5 +449,5 @@
         settings
     });
     assert!(router.close().await);
-    insta::assert_snapshot!("log_lines", forms_of_lines());
+    insta::assert_snapshot!("log_lines", log_line_formats());
 }
--- a/crates/reedsail_router/tests/quarantine.rs
+++ b/crates/reedsail_router/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that ends servers, before two routers that know each other.
+//! Guards against a request that keeps ending servers because it is sent to one after the other. Two routers that are
+//! peers of each other must both quarantine it.
 
 mod common;
 
@@ -19,12 +20,12 @@
 use common::wait_for;
 use common::wait_until_ready;
 
-/// Starts two routers that hear each other.
-async fn start_two(store: &Store) -> [RunningRouter<TestHeaders>; 2] {
+/// Starts two routers that are peers of each other.
+async fn start_two_peers(store: &Store) -> [RunningRouter<TestHeaders>; 2] {
     let first = start(store, settings("hall-a-1"));
     let mut second = settings("hall-a-2");
     second.seeds = vec![first.addresses().peers];
-    // Of another failure domain, it reads the store itself.
+    // In another failure domain it reads the store itself.
     "hall-b".clone_into(&mut second.failure_domain);
     let second = start(store, second);
     for router in [&first, &second] {
@@ -39,8 +40,8 @@
     [first, second]
 }
 
-/// Lists a server beside the first one, in place of all others.
-fn list_only(store: &Store, record: ServerRecord) {
+/// Lists a server after the first one, in place of all others.
+fn replace_other_servers(store: &Store, record: ServerRecord) {
     store.servers.send_modify(|records| {
         let records = records.as_mut().unwrap();
         records.truncate(1);
@@ -48,8 +49,8 @@
     });
 }
 
-/// Lists a server that never answers, asks it, and ends it; returns what the caller gets.
-async fn ask_and_end_server(
+/// Lists a server that never answers, sends it a request, and closes the server. Returns the caller's reply.
+async fn ask_and_close_server(
     store: &Store,
     router: &RunningRouter<TestHeaders>,
     id: &str,
@@ -57,7 +58,7 @@
 ) -> Reply {
     let server = RoutedStandin::start().await.unwrap();
     server.answer_with(&[RoutedAnswer::Silent]);
-    list_only(store, record(id, "app", &server));
+    replace_other_servers(store, record(id, "app", &server));
     let admin = router.addresses().admin;
     wait_for("the server", async || {
         ask(admin, "/servers", &[]).await.text().contains(id)
@@ -65,10 +66,10 @@
     .await;
     let callers = router.addresses().callers;
     let path = path.to_owned();
-    let asking = tokio::spawn(async move { ask(callers, &path, &[]).await });
+    let request_task = tokio::spawn(async move { ask(callers, &path, &[]).await });
     wait_for("run", async || !server.runs().is_empty()).await;
     server.close();
-    asking.await.unwrap()
+    request_task.await.unwrap()
 }
 
 async fn wait_for_metric(router: &RunningRouter<TestHeaders>, metric: &str) {
@@ -81,23 +82,23 @@
 
 #[tokio::test]
 async fn a_request_that_ended_three_servers_is_refused_by_every_instance() {
-    // A router without servers is not ready.
+    // A router without any listed server is not ready.
     let idle = RoutedStandin::start().await.unwrap();
     let draining = ServerRecord {
         is_draining: true,
         ..record("app-0", "app", &idle)
     };
     let store = Store::new(Some(configuration(1)), Some(vec![draining]));
-    let [first, second] = start_two(&store).await;
+    let [first, second] = start_two_peers(&store).await;
     for (number, router) in [(1, &first), (2, &second), (3, &first)] {
-        let reply = ask_and_end_server(&store, router, &format!("app-{number}"), "/once/poison").await;
+        let reply = ask_and_close_server(&store, router, &format!("app-{number}"), "/once/poison").await;
         assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
     }
     for router in [&first, &second] {
         wait_for_metric(router, "reedsail_router_quarantined_requests 1").await;
     }
     let healthy = RoutedStandin::start().await.unwrap();
-    list_only(&store, record("app-9", "app", &healthy));
+    replace_other_servers(&store, record("app-9", "app", &healthy));
     for router in [&first, &second] {
         let callers = router.addresses().callers;
         wait_for("an answer to another request", async || {
@@ -109,8 +110,8 @@
         assert!(reply.text().starts_with("quarantined"), "{}", reply.text());
         assert_eq!(reply.header("retry-after"), "");
         let other_key = [("authorization", "Bearer key-2")];
-        let of_same_workspace = ask(callers, "/once/poison", &other_key).await;
-        assert_eq!(of_same_workspace.status, StatusCode::SERVICE_UNAVAILABLE);
+        let same_workspace_reply = ask(callers, "/once/poison", &other_key).await;
+        assert_eq!(same_workspace_reply.status, StatusCode::SERVICE_UNAVAILABLE);
     }
     let poisoned = healthy.runs().iter().any(|run| run.call.contains("poison"));
     assert!(!poisoned);
@@ -124,7 +125,7 @@
         Some(configuration(1)),
         Some(vec![record("app-1", "app", &server)]),
     );
-    let [first, _second] = start_two(&store).await;
+    let [first, _second] = start_two_peers(&store).await;
     let callers = first.addresses().callers;
     for count in 1..=6 {
         wait_for("the next run", async || {
--- a/crates/reedsail_router/tests/server_notices.rs
+++ b/crates/reedsail_router/tests/server_notices.rs
@@ -1,4 +1,5 @@
-//! What servers say of themselves in their answers, on each path that an answer takes.
+//! Guards against notices in servers' answers that the router misses. A server reports that it drains, or requests a
+//! back-off, in an answer on each path through the router, and must get no new requests.
 
 mod common;
 
@@ -8,16 +9,16 @@
 use reedsail_standin::RoutedAnswer;
 use reedsail_standin::RoutedStandin;
 
-use common::Site;
+use common::RouterFixture;
 use common::ask;
 use common::wait_for;
 
-/// Requests that are sent after a server has said something.
+/// Number of requests that are sent after the notice of a server.
 const REQUESTS: usize = 20;
-/// What a server that drains puts into its answers.
-const DRAINING: &[(&str, &str)] = &[("reedsail-draining", "1")];
-/// What a server that turns requests away adds to ask for five seconds.
-const FIVE_SECONDS: &[(&str, &str)] = &[("retry-after", "5")];
+/// The header in the answers of a draining server.
+const DRAINING_HEADERS: &[(&str, &str)] = &[("reedsail-draining", "1")];
+/// The header with which a server that rejects requests asks for a back-off of five seconds.
+const BACKOFF_HEADERS: &[(&str, &str)] = &[("retry-after", "5")];
 
 const WHOLE: RoutedAnswer = RoutedAnswer::Whole {
     status: 200,
@@ -28,29 +29,29 @@
     pause_after: None,
 };
 
-/// An answer, and how a request comes to it.
-struct Told {
+/// An answer with a notice, and the path on which a request gets it.
+struct NoticeCase {
     path: &'static str,
-    /// What the server answers that says something of itself.
+    /// The answer of the server that sends the notice.
     answer: RoutedAnswer,
-    /// What the other server answers at first.
+    /// The first answer of the other server.
     other: RoutedAnswer,
 }
 
-fn told(path: &'static str, answer: RoutedAnswer, other: RoutedAnswer) -> Told {
-    Told { path, answer, other }
+fn case(path: &'static str, answer: RoutedAnswer, other: RoutedAnswer) -> NoticeCase {
+    NoticeCase { path, answer, other }
 }
 
-/// The servers that a path's requests go to, the first one listed first.
-fn first_server<'a>(site: &'a Site, path: &str) -> (&'a RoutedStandin, &'static str) {
+/// Returns the first listed server for the requests of a path, and the name of its service.
+fn first_server<'a>(fixture: &'a RouterFixture, path: &str) -> (&'a RoutedStandin, &'static str) {
     if path.contains("once") || path.contains("again") {
-        (&site.app, "app")
+        (&fixture.app, "app")
     } else {
-        (&site.llm, "llm")
+        (&fixture.llm, "llm")
     }
 }
 
-/// Asks until a server has had a request.
+/// Sends requests until one has reached the server.
 async fn ask_until_reached(callers: SocketAddr, path: &str, server: &RoutedStandin) {
     wait_for("a request there", async || {
         ask(callers, path, &[]).await;
@@ -65,49 +66,49 @@
         status: 500,
         bytes: 10,
     };
-    let breaks_off = RoutedAnswer::Stream {
+    let broken_stream = RoutedAnswer::Stream {
         events: 40,
         pause_after: Some(2),
     };
     let paths = [
-        told("/once/", WHOLE, WHOLE),
-        told("/once/", failure, WHOLE),
-        told("/once/", RoutedAnswer::NotRun, WHOLE),
-        told("/once/", RoutedAnswer::WrongId, WHOLE),
-        told("/stream/", STREAM, STREAM),
-        told("/resume/", STREAM, STREAM),
-        // The answers to a retry and to a stream that goes on elsewhere.
-        told("/again/", WHOLE, RoutedAnswer::NotRun),
-        told("/resume/", STREAM, breaks_off),
+        case("/once/", WHOLE, WHOLE),
+        case("/once/", failure, WHOLE),
+        case("/once/", RoutedAnswer::NotRun, WHOLE),
+        case("/once/", RoutedAnswer::WrongId, WHOLE),
+        case("/stream/", STREAM, STREAM),
+        case("/resume/", STREAM, STREAM),
+        // The answers to a retry and to a stream that resumes on another server.
+        case("/again/", WHOLE, RoutedAnswer::NotRun),
+        case("/resume/", STREAM, broken_stream),
     ];
-    for told in paths {
-        let site = Site::start().await;
-        let (server, service) = first_server(&site, told.path);
-        let other = site.add_server("other", service).await;
-        server.answer_with(&[told.answer]);
-        server.say(DRAINING);
-        other.answer_with(&[told.other]);
-        if told.other == breaks_off {
-            let callers = site.callers();
-            let path = told.path;
-            let asking = tokio::spawn(async move { ask_twice(callers, path).await });
+    for case in paths {
+        let fixture = RouterFixture::start().await;
+        let (server, service) = first_server(&fixture, case.path);
+        let other = fixture.add_server("other", service).await;
+        server.answer_with(&[case.answer]);
+        server.say(DRAINING_HEADERS);
+        other.answer_with(&[case.other]);
+        if case.other == broken_stream {
+            let callers = fixture.callers();
+            let path = case.path;
+            let request_task = tokio::spawn(async move { ask_twice(callers, path).await });
             wait_for("a stream elsewhere", async || !other.runs().is_empty()).await;
             other.crash();
             wait_for("the stream's end", async || !server.runs().is_empty()).await;
-            asking.abort();
+            request_task.abort();
         } else {
-            ask_until_reached(site.callers(), told.path, server).await;
+            ask_until_reached(fixture.callers(), case.path, server).await;
         }
         other.answer_with(&[if service == "app" { WHOLE } else { STREAM }]);
-        let reached = server.runs().len();
+        let runs_before = server.runs().len();
         for _ in 0..REQUESTS {
-            ask(site.callers(), told.path, &[]).await;
+            ask(fixture.callers(), case.path, &[]).await;
         }
-        assert_eq!(server.runs().len(), reached, "{}: {:?}", told.path, told.answer);
+        assert_eq!(server.runs().len(), runs_before, "{}: {:?}", case.path, case.answer);
     }
 }
 
-/// Asks twice: the second request reaches the server that the first one passed over.
+/// Sends two requests: the second one reaches the server that the first one skipped.
 async fn ask_twice(callers: SocketAddr, path: &str) {
     for _ in 0..2 {
         ask(callers, path, &[]).await;
@@ -117,40 +118,40 @@
 #[tokio::test]
 async fn a_server_that_requests_backoff_gets_no_new_requests() {
     for (path, is_retry) in [("/once/", false), ("/stream/", false), ("/again/", true)] {
-        let site = Site::start().await;
-        let (server, service) = first_server(&site, path);
-        let other = site.add_server("other", service).await;
+        let fixture = RouterFixture::start().await;
+        let (server, service) = first_server(&fixture, path);
+        let other = fixture.add_server("other", service).await;
         let success = if service == "app" { WHOLE } else { STREAM };
         server.answer_with(&[RoutedAnswer::NotRun]);
-        server.say(FIVE_SECONDS);
+        server.say(BACKOFF_HEADERS);
         other.answer_with(&[if is_retry { RoutedAnswer::NotRun } else { success }]);
-        ask_until_reached(site.callers(), path, server).await;
+        ask_until_reached(fixture.callers(), path, server).await;
         other.answer_with(&[success]);
-        let reached = server.runs().len();
+        let runs_before = server.runs().len();
         for _ in 0..REQUESTS {
-            let reply = ask(site.callers(), path, &[]).await;
+            let reply = ask(fixture.callers(), path, &[]).await;
             assert_eq!(reply.status, StatusCode::OK, "{path}");
         }
-        assert_eq!(server.runs().len(), reached, "{path}");
+        assert_eq!(server.runs().len(), runs_before, "{path}");
     }
 }
 
 #[tokio::test]
 async fn a_request_is_refused_while_every_server_is_backed_off() {
-    let site = Site::start().await;
-    site.app.answer_with(&[RoutedAnswer::NotRun]);
-    site.app.say(FIVE_SECONDS);
-    ask(site.callers(), "/once/", &[]).await;
-    assert_eq!(site.app.runs().len(), 1);
-    let reply = ask(site.callers(), "/once/", &[]).await;
+    let fixture = RouterFixture::start().await;
+    fixture.app.answer_with(&[RoutedAnswer::NotRun]);
+    fixture.app.say(BACKOFF_HEADERS);
+    ask(fixture.callers(), "/once/", &[]).await;
+    assert_eq!(fixture.app.runs().len(), 1);
+    let reply = ask(fixture.callers(), "/once/", &[]).await;
     assert_eq!(reply.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(
         reply.text().starts_with("backends_backed_off"),
         "{}",
         reply.text()
     );
-    // A caller that comes back earlier would be refused again.
+    // A caller that retried earlier would be refused again.
     let after_s: u64 = reply.header("retry-after").parse().unwrap();
     assert!((4..=10).contains(&after_s), "{after_s}");
-    assert_eq!(site.app.runs().len(), 1);
+    assert_eq!(fixture.app.runs().len(), 1);
 }
