--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -61,7 +61,7 @@
 use super::server_publication::publish_servers;
 use super::server_publication::log_and_publish_delta;
 use super::share_watch::ShareWatch;
-use super::store_era::StoreEra;
+use super::store_era::StoreEraWatch;
 use super::store_status::StoreStatus;
 use super::suspension_watch::SuspensionWatch;
 use crate::HeaderProtocol;
@@ -88,7 +88,7 @@
     servers: ServerList,
     configuration: ConfigurationState,
     evacuations: EvacuationState,
-    era: StoreEra,
+    era: StoreEraWatch,
     store: StoreStatus,
     shares: ShareWatch,
     suspensions: SuspensionWatch,
@@ -97,7 +97,7 @@
     /// Whether the peer of the last fetch could not compute the difference to this instance's list.
     needs_whole_list: bool,
     /// The time until which a fetch of the whole list of servers may be in progress.
-    whole_list_until: TimeMs,
+    whole_list_fetch_until: TimeMs,
     next_members_at: TimeMs,
 }
 
@@ -117,20 +117,20 @@
             servers: ServerList::default(),
             configuration: ConfigurationState::default(),
             evacuations: EvacuationState::default(),
-            era: StoreEra::default(),
+            era: StoreEraWatch::default(),
             store: StoreStatus::default(),
             shares: ShareWatch::default(),
             suspensions: SuspensionWatch::default(),
             pages: ServerPages::default(),
             next_fetch_at: TimeMs(0),
             needs_whole_list: false,
-            whole_list_until: TimeMs(0),
+            whole_list_fetch_until: TimeMs(0),
             next_members_at: TimeMs(0),
             shared,
         }
     }
 
-    fn in_force_version(&self) -> u64 {
+    fn own_version(&self) -> u64 {
         self.shared.routes.load().version()
     }
 
@@ -178,7 +178,7 @@
     /// Builds the same without departures, which are never urgent by themselves and may be numerous.
     fn head_without_departures(&self, now: TimeMs) -> MessageHeader {
         MessageHeader {
-            configuration_version: self.in_force_version(),
+            configuration_version: self.own_version(),
             configuration_age_ms: saturating_ms(self.configuration.age_ms(now)),
             servers_revision: self.servers.revision(),
             servers_digest: self.servers.digest(),
@@ -195,7 +195,7 @@
         if now < self.next_fetch_at {
             return Vec::new();
         }
-        let newer = self.exchange.peers().with_newer_configuration(self.in_force_version());
+        let newer = self.exchange.peers().with_newer_configuration(self.own_version());
         let newer = newer.map(PeerFetch::Configuration);
         let fetches: Vec<PeerFetch> = newer.into_iter().chain(self.plan_server_fetch(now)).collect();
         if !fetches.is_empty() {
@@ -214,10 +214,10 @@
         if has_list && newest.era == own.era && !self.needs_whole_list {
             return Some(PeerFetch::ServersSince(peer, self.servers.digest()));
         }
-        if now < self.whole_list_until {
+        if now < self.whole_list_fetch_until {
             return None;
         }
-        self.whole_list_until = now.plus_ms(WHOLE_LIST_TIMEOUT_MS);
+        self.whole_list_fetch_until = now.plus_ms(WHOLE_LIST_TIMEOUT_MS);
         Some(PeerFetch::Servers(peer))
     }
 
@@ -339,7 +339,7 @@
     type Return = ();
 
     async fn handle(&mut self, unreadable: ConfigurationUnreadable, _: &mut Context<Self>) {
-        let in_force = self.in_force_version().to_string();
+        let in_force = self.own_version().to_string();
         let fields = [("fault", unreadable.0), ("in_force", in_force)];
         self.shared.emit(EventKind::ConfigurationInvalid, &fields);
     }
@@ -384,7 +384,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: WholeListFetched, _: &mut Context<Self>) {
-        self.whole_list_until = self.shared.clock.now();
+        self.whole_list_fetch_until = self.shared.clock.now();
     }
 }
 
@@ -437,7 +437,7 @@
                 self.shared.dispatcher().announce_suspects(now);
             }
         }
-        self.configuration.merge_peer_age(peer_configuration, self.in_force_version(), now);
+        self.configuration.merge_peer_age(peer_configuration, self.own_version(), now);
         let comparison = self.servers.compare_with_peer(&peer_list, now);
         self.era.log_era_change(&self.shared, &self.servers, Origin::Peer);
         match comparison {
@@ -489,7 +489,7 @@
         log_server_ends(&self.shared);
         log_quarantine(&self.shared);
         self.evacuations.tick(&self.shared, &self.servers, now);
-        StoreEra::tick(&self.shared, &self.servers, &self.evacuations);
+        StoreEraWatch::tick(&self.shared, &self.servers, &self.evacuations);
         self.shares.tick(&self.shared, now);
         self.pages.tick(now);
         self.suspensions.tick(&self.shared);
--- a/crates/reedsail_router/src/control/store_era.rs
+++ b/crates/reedsail_router/src/control/store_era.rs
@@ -12,11 +12,11 @@
 
 /// The last known position in the store's log.
 #[derive(Debug, Default)]
-pub(crate) struct StoreEra {
+pub(crate) struct StoreEraWatch {
     last_position: StorePosition,
 }
 
-impl StoreEra {
+impl StoreEraWatch {
     /// Logs an era that has begun, with the origin of the information. The first era that an instance learns of is not
     /// logged: it began before the instance did.
     pub(crate) fn log_era_change<H>(&mut self, shared: &Shared<H>, servers: &ServerList, origin: Origin) {
--- a/crates/reedsail_router/tests/callers_gone.rs
+++ b/crates/reedsail_router/tests/callers_gone.rs
@@ -73,7 +73,7 @@
     second.answer_with(&answers[1..]);
     // The request ends up at the second server, no matter which server is tried first.
     let request_task = ask_in_task(fixture.callers(), "/again/");
-    wait_for("a run there", async || !second.runs().is_empty()).await;
+    wait_for("a run on the second server", async || !second.runs().is_empty()).await;
     request_task.abort();
     wait_for_cancel(&second, 0).await;
 }
@@ -88,7 +88,7 @@
     let second = fixture.add_server("llm-2", "llm").await;
     second.answer_with(&[RoutedAnswer::Silent]);
     fixture.llm.crash();
-    wait_for("a run elsewhere", async || !second.runs().is_empty()).await;
+    wait_for("a run on the second server", async || !second.runs().is_empty()).await;
     drop(body);
     drop(caller);
     wait_for_cancel(&second, 0).await;
--- a/crates/reedsail_router/tests/common/mod.rs
+++ b/crates/reedsail_router/tests/common/mod.rs
@@ -55,7 +55,7 @@
 type SourceValue<T> = watch::Receiver<Option<T>>;
 
 pub(crate) struct MemoryConfiguration {
-    shown: SourceValue<Configuration>,
+    state: SourceValue<Configuration>,
     last_version: u64,
 }
 
@@ -63,14 +63,14 @@
     async fn next(&mut self, wait_ms: u64) -> Result<OperatorUpdate, SourceError> {
         let last_version = self.last_version;
         let is_new =
-            |shown: &Option<Configuration>| shown.as_ref().is_none_or(|shown| shown.version > last_version);
-        let result = timeout(Duration::from_millis(wait_ms), self.shown.wait_for(is_new)).await;
+            |state: &Option<Configuration>| state.as_ref().is_none_or(|state| state.version > last_version);
+        let result = timeout(Duration::from_millis(wait_ms), self.state.wait_for(is_new)).await;
         match result {
-            Ok(Ok(shown)) => {
-                let shown = shown.clone().ok_or_else(unavailable)?;
-                self.last_version = shown.version;
+            Ok(Ok(state)) => {
+                let state = state.clone().ok_or_else(unavailable)?;
+                self.last_version = state.version;
                 Ok(OperatorUpdate {
-                    configuration: Some(Ok(shown)),
+                    configuration: Some(Ok(state)),
                     ..OperatorUpdate::default()
                 })
             }
@@ -150,7 +150,7 @@
 
 pub(crate) fn start_at(clock: Clock, store: &Store, settings: RouterSettings) -> RunningRouter<TestHeaders> {
     let configuration = MemoryConfiguration {
-        shown: store.configuration.subscribe(),
+        state: store.configuration.subscribe(),
         last_version: 0,
     };
     let servers = MemoryServers(store.servers.subscribe());
@@ -339,7 +339,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "no {what}");
+    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "timed out waiting for {what}");
 }
 
 /// A ready router with one server of each service behind it.
--- a/crates/reedsail_router/tests/control_state.rs
+++ b/crates/reedsail_router/tests/control_state.rs
@@ -165,16 +165,16 @@
     fixture.llm.answer_with(&[endless_stream]);
     let callers = fixture.callers();
     let mut streaming = Caller::connect(callers).await;
-    let long = [("reedsail-deadline-ms", "60000")];
-    let open_response = streaming.send(request("/stream/", &long)).await;
+    let long_deadline = [("reedsail-deadline-ms", "60000")];
+    let open_response = streaming.send(request("/stream/", &long_deadline)).await;
     let stop_task = tokio::spawn(fixture.router.close());
     // The open stream keeps the router running after it stops accepting new requests.
     wait_for("refusal", async || {
-        ask(callers, "/open/", &long).await.text().starts_with("stopping")
+        ask(callers, "/open/", &long_deadline).await.text().starts_with("stopping")
     })
     .await;
-    let short = [("reedsail-deadline-ms", "500")];
-    let reply = ask(callers, "/once/", &short).await;
+    let short_deadline = [("reedsail-deadline-ms", "500")];
+    let reply = ask(callers, "/once/", &short_deadline).await;
     assert_eq!(
         (reply.status, reply.header("connection")),
         (StatusCode::OK, "close")
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -74,24 +74,24 @@
 ";
 
 /// Lists every value under its key in the settings file.
-fn shown(read: &RouterSettings) -> String {
-    let listen = read.listen;
-    let (stop, dispatch) = (read.stop, read.dispatch);
+fn render_settings(settings: &RouterSettings) -> String {
+    let listen = settings.listen;
+    let (stop, dispatch) = (settings.stop, settings.dispatch);
     let rows = [
-        ("instance", read.instance.clone()),
-        ("failure_domain", read.failure_domain.clone()),
+        ("instance", settings.instance.clone()),
+        ("failure_domain", settings.failure_domain.clone()),
         ("listen.callers", listen.callers.to_string()),
         ("listen.readiness", listen.readiness.to_string()),
         ("listen.admin", listen.admin.to_string()),
         ("listen.peers", listen.peers.to_string()),
-        ("readiness_path", read.readiness_path.clone()),
-        ("store", read.store.to_string()),
-        ("seeds", format!("{:?}", read.seeds)),
-        ("memory_mb", read.memory_mb.to_string()),
-        ("memory_mb, open requests", read.open_requests_max().to_string()),
-        ("memory_mb, connections", read.connections_max().to_string()),
-        ("processor_share", read.processor_share.to_string()),
-        ("processor_share, thousandths", read.processor_milli().to_string()),
+        ("readiness_path", settings.readiness_path.clone()),
+        ("store", settings.store.to_string()),
+        ("seeds", format!("{:?}", settings.seeds)),
+        ("memory_mb", settings.memory_mb.to_string()),
+        ("memory_mb, open requests", settings.open_requests_max().to_string()),
+        ("memory_mb, connections", settings.connections_max().to_string()),
+        ("processor_share", settings.processor_share.to_string()),
+        ("processor_share, thousandths", settings.processor_milli().to_string()),
         ("stop.accept_ms", stop.accept_ms.to_string()),
         ("stop.end_ms", stop.end_ms.to_string()),
         ("dispatch.repeat_ratio", dispatch.retry_ratio.to_string()),
@@ -99,7 +99,7 @@
         ("dispatch.repeat_slack", dispatch.retry_slack.to_string()),
         ("dispatch.share_window_ms", dispatch.share_window_ms.to_string()),
         ("dispatch.report_valid_ms", dispatch.report_valid_ms.to_string()),
-        ("log_lines_per_s", read.log_lines_per_s.to_string()),
+        ("log_lines_per_s", settings.log_lines_per_s.to_string()),
     ];
     rows.map(|(key, value)| format!("{key} = {value}\n")).concat()
 }
@@ -108,11 +108,11 @@
 fn settings_keep_their_keys_and_defaults() {
     insta::assert_snapshot!(
         "settings_full",
-        shown(&RouterSettings::read(FULL_SETTINGS).unwrap())
+        render_settings(&RouterSettings::read(FULL_SETTINGS).unwrap())
     );
     insta::assert_snapshot!(
         "settings_least",
-        shown(&RouterSettings::read(MINIMAL_SETTINGS).unwrap())
+        render_settings(&RouterSettings::read(MINIMAL_SETTINGS).unwrap())
     );
 }
 
@@ -151,9 +151,9 @@
 async fn peer_pages_keep_their_format() {
     let fixture = RouterFixture::start().await;
     let peers = fixture.router.addresses().peers;
-    let shown = ask(peers, "/configuration", &[]).await;
-    assert_eq!(shown.header("content-type"), "application/json");
-    insta::assert_snapshot!("page_configuration", shown.text());
+    let page = ask(peers, "/configuration", &[]).await;
+    assert_eq!(page.header("content-type"), "application/json");
+    insta::assert_snapshot!("page_configuration", page.text());
     let servers = ask(peers, "/servers", &[]).await;
     assert_eq!(servers.header("content-type"), "application/json");
     let mut text = servers.text().to_owned();
--- a/crates/reedsail_router/tests/requests.rs
+++ b/crates/reedsail_router/tests/requests.rs
@@ -159,10 +159,10 @@
 #[tokio::test]
 async fn a_route_timeout_is_answered_as_gateway_timeout() {
     let fixture = RouterFixture::start().await;
-    fixture.store.configuration.send_modify(|shown| {
-        let shown = shown.as_mut().unwrap();
-        shown.version = 2;
-        shown.routes[0].timeout_ms = 200;
+    fixture.store.configuration.send_modify(|published| {
+        let published = published.as_mut().unwrap();
+        published.version = 2;
+        published.routes[0].timeout_ms = 200;
     });
     wait_for("version 2", async || fixture.router.configuration_version() == 2).await;
     fixture.app.answer_with(&[RoutedAnswer::Silent]);
--- a/crates/reedsail_router/tests/server_notices.rs
+++ b/crates/reedsail_router/tests/server_notices.rs
@@ -53,7 +53,7 @@
 
 /// Sends requests until one has reached the server.
 async fn ask_until_reached(callers: SocketAddr, path: &str, server: &RoutedStandin) {
-    wait_for("a request there", async || {
+    wait_for("a request at the server", async || {
         ask(callers, path, &[]).await;
         !server.runs().is_empty()
     })
@@ -70,7 +70,7 @@
         events: 40,
         pause_after: Some(2),
     };
-    let paths = [
+    let cases = [
         case("/once/", WHOLE, WHOLE),
         case("/once/", failure, WHOLE),
         case("/once/", RoutedAnswer::NotRun, WHOLE),
@@ -81,7 +81,7 @@
         case("/again/", WHOLE, RoutedAnswer::NotRun),
         case("/resume/", STREAM, broken_stream),
     ];
-    for case in paths {
+    for case in cases {
         let fixture = RouterFixture::start().await;
         let (server, service) = first_server(&fixture, case.path);
         let other = fixture.add_server("other", service).await;
@@ -92,9 +92,9 @@
             let callers = fixture.callers();
             let path = case.path;
             let request_task = tokio::spawn(async move { ask_twice(callers, path).await });
-            wait_for("a stream elsewhere", async || !other.runs().is_empty()).await;
+            wait_for("a stream on the other server", async || !other.runs().is_empty()).await;
             other.crash();
-            wait_for("the stream's end", async || !server.runs().is_empty()).await;
+            wait_for("the resumed stream", async || !server.runs().is_empty()).await;
             request_task.abort();
         } else {
             ask_until_reached(fixture.callers(), case.path, server).await;
--- a/crates/reedsail_router/tests/suspension.rs
+++ b/crates/reedsail_router/tests/suspension.rs
@@ -30,10 +30,10 @@
 
 /// Sets the time-out of all routes.
 async fn set_timeouts(fixture: &RouterFixture, timeout_ms: u64) {
-    fixture.store.configuration.send_modify(|shown| {
-        let shown = shown.as_mut().unwrap();
-        shown.version = 2;
-        for route in &mut shown.routes {
+    fixture.store.configuration.send_modify(|published| {
+        let published = published.as_mut().unwrap();
+        published.version = 2;
+        for route in &mut published.routes {
             route.timeout_ms = timeout_ms;
         }
     });
