--- a/crates/reedsail_dispatch/src/dispatcher.rs
+++ b/crates/reedsail_dispatch/src/dispatcher.rs
@@ -202,7 +202,7 @@
         decision
     }
 
-    /// Returns whether a request may be written to an idle connection to a server. If nothing in another
+    /// Returns whether a request may be written to an idle connection to a server. If no server of another
     /// failure domain has answered recently, that domain may be partitioned. A new connection detects this
     /// within the connect timeout. A request written to a partitioned connection is lost for seconds and may
     /// not be safe to retry.
--- a/crates/reedsail_dispatch/src/fair_share.rs
+++ b/crates/reedsail_dispatch/src/fair_share.rs
@@ -286,7 +286,8 @@
         let entry = self.workspaces.get(&workspace)?;
         let levels = &self.levels;
         Some(CappedWorkspace {
-            own_fraction: entry.recent_prefill_tokens.value_at(now) / entry.recent_prefill_tokens(now).max(1.0),
+            own_fraction: entry.recent_prefill_tokens.value_at(now)
+                / entry.recent_prefill_tokens(now).max(1.0),
             sent_ratio: entry.recent_sent(now) / levels.equal_recent_sent.max(1.0),
             levels,
         })
--- a/crates/reedsail_dispatch/src/pacing.rs
+++ b/crates/reedsail_dispatch/src/pacing.rs
@@ -63,7 +63,8 @@
     fn refill(&mut self, tokens_per_ms: f64, prompt_tokens: f64, now: TimeMs) {
         let elapsed_ms = now.since_ms(self.refilled_at) as f64;
         self.refilled_at = now;
-        let capacity_tokens = (tokens_per_ms * BUCKET_CAPACITY_MS).max(prompt_tokens * BUCKET_CAPACITY_PROMPTS);
+        let capacity_tokens =
+            (tokens_per_ms * BUCKET_CAPACITY_MS).max(prompt_tokens * BUCKET_CAPACITY_PROMPTS);
         self.tokens = (self.tokens + tokens_per_ms * elapsed_ms).min(capacity_tokens);
     }
 }
--- a/crates/reedsail_dispatch/src/placement.rs
+++ b/crates/reedsail_dispatch/src/placement.rs
@@ -104,7 +104,8 @@
         match scope {
             CandidateScope::OwnDomain => domain == self.own_domain && server.health.is_reachable(self.now),
             CandidateScope::Reachable => {
-                let is_domain_reachable = domain == self.own_domain || self.reach.is_reachable(domain, self.now);
+                let is_domain_reachable =
+                    domain == self.own_domain || self.reach.is_reachable(domain, self.now);
                 is_domain_reachable && server.health.is_reachable(self.now)
             }
             CandidateScope::Any => true,
@@ -119,7 +120,12 @@
     }
 
     /// Returns a server's state if the server may be tried.
-    fn usable(&self, server: GroupedServer, demand: &Demand<'_>, scope: CandidateScope) -> Option<&ServerState> {
+    fn usable(
+        &self,
+        server: GroupedServer,
+        demand: &Demand<'_>,
+        scope: CandidateScope,
+    ) -> Option<&ServerState> {
         let state = self.servers.get(server.key);
         let is_usable = self.is_in_scope(state, scope)
             && self.servers.accepts_work(state, self.now)
@@ -169,13 +175,19 @@
         }
     }
 
-    fn choose_engine(&self, demand: &Demand<'_>, prompt: &Prompt, scope: CandidateScope) -> Option<Placement> {
+    fn choose_engine(
+        &self,
+        demand: &Demand<'_>,
+        prompt: &Prompt,
+        scope: CandidateScope,
+    ) -> Option<Placement> {
         let segment = prompt.last_shared()?;
         let mut groups = self.servers.of_service(demand.service).beginning_with(segment.id);
         let ranked = groups.find_map(|group| self.rank(group, segment.id, demand, scope))?;
         let candidates = ranked.into_iter().flatten().map(|key| {
             let placement = self.place_prompt(demand, prompt, segment, key);
-            let second_server_penalty_ms = self.second_server_penalty_ms(segment, key, Some(key) == ranked[0]);
+            let second_server_penalty_ms =
+                self.second_server_penalty_ms(segment, key, Some(key) == ranked[0]);
             let health_penalty_ms = self.health_penalty_ms(self.servers.get(key), demand);
             (placement, placement.expected_ms as f64 + second_server_penalty_ms + health_penalty_ms)
         });
--- a/crates/reedsail_dispatch/src/prefix_cache_index.rs
+++ b/crates/reedsail_dispatch/src/prefix_cache_index.rs
@@ -18,7 +18,7 @@
 /// Maximum number of segments in the table, which bounds its memory to about a megabyte.
 const SEGMENTS_MAX: usize = 8_192;
 /// How long a server is assumed to keep a cached segment after its last use, in milliseconds.
-const CACHE_LIFETIME_MS: u64 = 20_000;
+const CACHE_TTL_MS: u64 = 20_000;
 /// Interval at which a segment that stays in use is reported to peers again, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 5_000;
 /// Number of reports that include the same row, because a report may be lost.
@@ -82,7 +82,7 @@
             .get(&segment_hash(id))
             .into_iter()
             .flatten()
-            .filter(move |holder| now.since_ms(holder.used_at) < CACHE_LIFETIME_MS)
+            .filter(move |holder| now.since_ms(holder.used_at) < CACHE_TTL_MS)
             .map(|holder| holder.server)
     }
 
@@ -107,7 +107,7 @@
             self.evict(now);
         }
         let holders = self.segments.entry(segment).or_default();
-        holders.retain(|holder| holder.server != server && now.since_ms(holder.used_at) < CACHE_LIFETIME_MS);
+        holders.retain(|holder| holder.server != server && now.since_ms(holder.used_at) < CACHE_TTL_MS);
         holders.push(Holder {
             server,
             used_at: now,
@@ -119,7 +119,7 @@
     /// used half. Evicting all segments would make the servers prefill every prompt again at once.
     fn evict(&mut self, now: TimeMs) {
         self.segments
-            .retain(|_, holders| holders.iter().any(|holder| now.since_ms(holder.used_at) < CACHE_LIFETIME_MS));
+            .retain(|_, holders| holders.iter().any(|holder| now.since_ms(holder.used_at) < CACHE_TTL_MS));
         if self.segments.len() < SEGMENTS_MAX {
             return;
         }
--- a/crates/reedsail_dispatch/tests/overload.rs
+++ b/crates/reedsail_dispatch/tests/overload.rs
@@ -23,7 +23,12 @@
 }
 
 /// Records the same sample every 100 ms, and returns the time of the last one.
-fn record_repeatedly(overload: &OverloadMonitor, sample: OverloadSample, start: TimeMs, times: u64) -> TimeMs {
+fn record_repeatedly(
+    overload: &OverloadMonitor,
+    sample: OverloadSample,
+    start: TimeMs,
+    times: u64,
+) -> TimeMs {
     let mut now = start;
     for _ in 0..times {
         now = now.plus_ms(100);
--- a/crates/reedsail_dispatch/tests/shares.rs
+++ b/crates/reedsail_dispatch/tests/shares.rs
@@ -85,8 +85,8 @@
                 let ages = times.iter().map(|time| now.since_ms(*time));
                 ages.filter(|age_ms| (age_min_ms..age_min_ms + duration_ms).contains(age_ms)).count() as f64
             };
-            let requests_max = (0..=10).map(|second| count(&requests, second * 1_000, 12_000)).fold(0.0, f64::max);
-            assert!(count(&retries, 0, 10_000) <= 0.2 * requests_max + 3.0);
+            let max_count = (0..=10).map(|second| count(&requests, second * 1_000, 12_000)).fold(0.0, f64::max);
+            assert!(count(&retries, 0, 10_000) <= 0.2 * max_count + 3.0);
         }
     }
 }
