--- a/crates/reedsail_dispatch/src/list_history.rs
+++ b/crates/reedsail_dispatch/src/list_history.rs
@@ -38,10 +38,10 @@
     /// unknown.
     pub(crate) fn since(&self, digest: u64) -> Option<HashSet<Arc<str>>> {
         let newest_first = self.changes.iter().rev();
-        let changes_since = newest_first
+        let index = newest_first
             .clone()
             .position(|change| change.digest_before == digest)?;
-        let changed = newest_first.take(changes_since + 1);
+        let changed = newest_first.take(index + 1);
         Some(changed.map(|change| Arc::clone(&change.id)).collect())
     }
 }
--- a/crates/reedsail_dispatch/src/server_list.rs
+++ b/crates/reedsail_dispatch/src/server_list.rs
@@ -217,8 +217,7 @@
     fn mark_use_changed(&mut self, names: &[NameHash]) {
         let entries = self.entries.values();
         let affected = entries.filter(|entry| names.contains(&entry.name));
-        self.changed
-            .extend(affected.map(|entry| entry.record.id.clone()));
+        self.changed.extend(affected.map(|entry| entry.record.id.clone()));
     }
 
     /// Records that a read of the store failed.
@@ -270,7 +269,10 @@
     /// Returns the servers as this instance uses them. Servers count as draining if a peer advertised their
     /// departure, or if their departure is kept against a backup of the store.
     pub fn records(&self, now: TimeMs) -> Vec<ServerRecord> {
-        self.entries.values().map(|entry| self.record_in_use(entry, now)).collect()
+        self.entries
+            .values()
+            .map(|entry| self.record_in_use(entry, now))
+            .collect()
     }
 
     /// Returns a server as this instance uses it; `None` if it is not listed.
--- a/crates/reedsail_dispatch/src/server_table.rs
+++ b/crates/reedsail_dispatch/src/server_table.rs
@@ -398,7 +398,8 @@
     /// Returns this instance's load for its peers, without idle, healthy servers.
     pub(crate) fn report(&mut self, now: TimeMs) -> Vec<ServerLoadRow> {
         let servers = &self.servers;
-        self.active.retain(|key| !servers[key.index()].has_nothing_to_report(now));
+        self.active
+            .retain(|key| !servers[key.index()].has_nothing_to_report(now));
         let active = self.active.iter().map(|key| &servers[key.index()]);
         let listed = active.filter(|server| server.life.is_listed());
         listed.map(|server| server.row(now)).collect()
--- a/crates/reedsail_dispatch/tests/server_ends.rs
+++ b/crates/reedsail_dispatch/tests/server_ends.rs
@@ -62,7 +62,8 @@
 fn ended_requests(instance: &mut Dispatcher, now: TimeMs) -> Vec<Fingerprint> {
     instance.tick(now);
     let server_ends = instance.take_server_ends();
-    server_ends.iter()
+    server_ends
+        .iter()
         .flat_map(|end| end.requests.iter().map(|request| request.fingerprint))
         .collect()
 }
--- a/crates/reedsail_dispatch/tests/server_life.rs
+++ b/crates/reedsail_dispatch/tests/server_life.rs
@@ -38,7 +38,8 @@
 /// Returns the state that the rule requires, given the last event of each kind.
 fn expected(sequence: &[LifeEvent], now: TimeMs) -> LifeState {
     let is_list_event = |event: &LifeEvent| matches!(event, LifeEvent::Listed { .. } | LifeEvent::Unlisted);
-    let is_operator_event = |event: &LifeEvent| matches!(event, LifeEvent::Evacuated | LifeEvent::EvacuationEnded { .. });
+    let is_operator_event =
+        |event: &LifeEvent| matches!(event, LifeEvent::Evacuated | LifeEvent::EvacuationEnded { .. });
     let Some(LifeEvent::Listed {
         is_draining,
         cold_until,
@@ -46,7 +47,8 @@
     else {
         return LifeState::Departed;
     };
-    let is_assumed_cold_event = |event: &LifeEvent| matches!(event, LifeEvent::EvacuationEnded { .. } | LifeEvent::Down { .. });
+    let is_assumed_cold_event =
+        |event: &LifeEvent| matches!(event, LifeEvent::EvacuationEnded { .. } | LifeEvent::Down { .. });
     let may_be_cold = last_event(sequence, is_assumed_cold_event).is_some() && now < COLD_UNTIL;
     let has_draining_notice = sequence.contains(&LifeEvent::DrainingNotice);
     if is_draining || has_draining_notice {
--- a/crates/reedsail_dispatch/tests/store_era_fleets.rs
+++ b/crates/reedsail_dispatch/tests/store_era_fleets.rs
@@ -194,7 +194,11 @@
             let instance = &mut self.instances[index];
             instance.list.tick(now);
             instance.evacuations.tick(now);
-            if is_reader && !self.store.is_down && now >= instance.partitioned_until && now >= instance.next_read_at {
+            if is_reader
+                && !self.store.is_down
+                && now >= instance.partitioned_until
+                && now >= instance.next_read_at
+            {
                 instance.next_read_at = now.plus_ms(READ_INTERVAL_MS);
                 read(instance, &self.store, now);
             }
