--- a/crates/reedsail_router/src/metrics.rs
+++ b/crates/reedsail_router/src/metrics.rs
@@ -48,7 +48,7 @@
     pub(crate) quarantined: IntGauge,
     /// Suspensions of the machine.
     pub(crate) suspensions: IntCounter,
-    /// Currently open requests.
+    /// Open requests.
     pub(crate) open_requests: IntGauge,
     /// The version of the configuration in force.
     pub(crate) configuration_version: IntGauge,
@@ -129,7 +129,7 @@
                 "reedsail_router_suspensions_total",
                 "Suspensions of the machine since the process started.",
             ),
-            open_requests: gauge(&registry, "reedsail_router_open_requests", "Currently open requests."),
+            open_requests: gauge(&registry, "reedsail_router_open_requests", "Open requests."),
             configuration_version: gauge(
                 &registry,
                 "reedsail_router_configuration_version",
