--- a/crates/reedsail_router/src/control/follow.rs
+++ b/crates/reedsail_router/src/control/follow.rs
@@ -92,7 +92,7 @@
     let asked_at = clock.now();
     let limit = Duration::from_millis(LONG_POLL_MS + ANSWER_TIMEOUT_MS);
     let outcome = timeout(limit, source.next(LONG_POLL_MS)).await;
-    let outcome = outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer within the time-out".to_owned())));
+    let outcome = outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("the answer timed out".to_owned())));
     let update = match outcome {
         Ok(update) => update,
         Err(error) => return Some(error.to_string()),
@@ -145,7 +145,7 @@
         let asked_at = clock.now();
         let outcome = timeout(Duration::from_millis(ANSWER_TIMEOUT_MS), source.poll(known_revision)).await;
         let outcome =
-            outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("no answer within the time-out".to_owned())));
+            outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("the answer timed out".to_owned())));
         let fault = match outcome {
             Ok(update) => {
                 // The actor ends only with the instance.
--- a/crates/reedsail_router/src/running.rs
+++ b/crates/reedsail_router/src/running.rs
@@ -226,7 +226,7 @@
     let mut attempts_left = if address.port() == 0 { PORT_ATTEMPTS_MAX } else { 1 };
     loop {
         let socket = UdpSocket::bind(address)
-            .with_context(|| format!("cannot bind a UDP socket to {address}; free the port or change `listen.peers`"))?;
+            .with_context(|| format!("cannot bind UDP to {address}; free the port or change the setting"))?;
         socket.set_nonblocking(true)?;
         attempts_left -= 1;
         match listen_on(socket.local_addr()?) {
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -180,7 +180,7 @@
 async fn metrics_keep_their_names_and_labels() {
     let fixture = RouterFixture::start().await;
     let second = fixture.add_server("app-2", "app").await;
-    let fails = RoutedAnswer::Whole {
+    let failure = RoutedAnswer::Whole {
         status: 500,
         bytes: 1,
     };
@@ -189,7 +189,7 @@
         bytes: 1,
     };
     for (bad, good) in [(&fixture.app, &second), (&second, &fixture.app)] {
-        bad.answer_with(&[fails]);
+        bad.answer_with(&[failure]);
         good.answer_with(&[whole]);
         ask(fixture.callers(), "/again/", &[]).await;
     }
@@ -242,7 +242,7 @@
     wait_for(kind.name(), async || has_line(kind, text)).await;
 }
 
-/// A source that returns the updates of a channel.
+/// A source that returns the updates sent on a channel.
 struct ChannelSource<T>(mpsc::UnboundedReceiver<Result<T, SourceError>>);
 
 impl OperatorSource for ChannelSource<OperatorUpdate> {
@@ -374,11 +374,11 @@
     other.answer_with(&[whole]);
     first.crash();
     read_body(&mut body, None).await;
-    let fails = RoutedAnswer::Whole {
+    let failure = RoutedAnswer::Whole {
         status: 500,
         bytes: 1,
     };
-    fixture.app.answer_with(&[fails]);
+    fixture.app.answer_with(&[failure]);
     ask(fixture.callers(), "/again/", &[]).await;
     ask(fixture.callers(), "/nowhere/", &[]).await;
     fixture.app.answer_with(&[RoutedAnswer::NotRun]);
--- a/crates/reedsail_router/tests/suspension.rs
+++ b/crates/reedsail_router/tests/suspension.rs
@@ -9,9 +9,9 @@
 use reedsail_standin::RoutedAnswer;
 use tokio::time::timeout;
 
-use common::WAIT_TIMEOUT;
 use common::Reply;
 use common::RouterFixture;
+use common::WAIT_TIMEOUT;
 use common::ask;
 use common::wait_for;
 
