--- a/crates/reedsail_router/src/control/server_pages.rs
+++ b/crates/reedsail_router/src/control/server_pages.rs
@@ -67,7 +67,7 @@
     match serde_json::to_vec(listing) {
         Ok(json) => Bytes::from(json),
         Err(error) => {
-            // Not expected: every field of the page can be serialised. A peer fails to parse an empty page, and retries.
+            // Not expected: every field of the page can be serialised. A peer cannot parse an empty page; it retries.
             log::error!("cannot serialise the list of backend servers; peers get an empty page: {error}");
             Bytes::new()
         }
