--- a/crates/reedsail_cli/src/requests_command.rs
+++ b/crates/reedsail_cli/src/requests_command.rs
@@ -126,7 +126,11 @@
                 || vec!["none".to_owned()],
                 |window| {
                     let begins = format!("{:.2}", window.from_ms as f64 / 1_000.0);
-                    vec![format!("{:.2}", window.ratio()), begins, window.best_workspace.clone()]
+                    vec![
+                        format!("{:.2}", window.ratio()),
+                        begins,
+                        window.best_workspace.clone(),
+                    ]
                 },
             );
             std::iter::once(name.clone()).chain(counts).chain(worst).collect()
--- a/crates/reedsail_core/src/milliseconds.rs
+++ b/crates/reedsail_core/src/milliseconds.rs
@@ -15,7 +15,9 @@
         if ms.is_finite() && ms >= 0.0 {
             Ok(Self(ms.ceil() as u64))
         } else {
-            Err(format!("invalid duration {ms}; write a non-negative number of milliseconds"))
+            Err(format!(
+                "invalid duration {ms}; write a non-negative number of milliseconds"
+            ))
         }
     }
 }
--- a/crates/reedsail_core/src/outcome.rs
+++ b/crates/reedsail_core/src/outcome.rs
@@ -62,7 +62,10 @@
 #[allow(clippy::unused_self, reason = "consuming the value uses up the proof")]
 impl Unsent {
     /// Begins a request.
-    #[allow(clippy::new_without_default, reason = "a default value would be a proof without a request")]
+    #[allow(
+        clippy::new_without_default,
+        reason = "a default value would be a proof without a request"
+    )]
     pub fn new() -> Self {
         Self(())
     }
--- a/crates/reedsail_dispatch/src/attempt.rs
+++ b/crates/reedsail_dispatch/src/attempt.rs
@@ -103,7 +103,8 @@
     ) -> Attempt {
         self.last_number += 1;
         let deadline = overdue_at(placement.expected_ms, now);
-        self.deadlines.insert(self.last_number, (placement.server, deadline));
+        self.deadlines
+            .insert(self.last_number, (placement.server, deadline));
         Attempt {
             number: self.last_number,
             server: placement.server,
--- a/crates/reedsail_dispatch/src/first_event_model.rs
+++ b/crates/reedsail_dispatch/src/first_event_model.rs
@@ -103,7 +103,10 @@
     /// Returns the expected time to the first event, in milliseconds.
     pub fn expected_ms(&self, work: EngineWork) -> f64 {
         let terms = work.terms().into_iter();
-        terms.zip(self.coefficients).map(|(term, coefficient)| term * coefficient).sum()
+        terms
+            .zip(self.coefficients)
+            .map(|(term, coefficient)| term * coefficient)
+            .sum()
     }
 
     /// Returns the time to prefill a number of tokens, in milliseconds.
--- a/crates/reedsail_dispatch/src/placement.rs
+++ b/crates/reedsail_dispatch/src/placement.rs
@@ -189,7 +189,10 @@
             let second_server_penalty_ms =
                 self.second_server_penalty_ms(segment, key, Some(key) == ranked[0]);
             let health_penalty_ms = self.health_penalty_ms(self.servers.get(key), demand);
-            (placement, placement.expected_ms as f64 + second_server_penalty_ms + health_penalty_ms)
+            (
+                placement,
+                placement.expected_ms as f64 + second_server_penalty_ms + health_penalty_ms,
+            )
         });
         candidates
             .min_by(|(_, left), (_, right)| left.total_cmp(right))
--- a/crates/reedsail_dispatch/src/prefix_cache_index.rs
+++ b/crates/reedsail_dispatch/src/prefix_cache_index.rs
@@ -118,8 +118,11 @@
     /// Evicts segments that no server has cached any more. If none has expired, evicts the least recently
     /// used half. Evicting all segments would make the servers prefill every prompt again at once.
     fn evict(&mut self, now: TimeMs) {
-        self.segments
-            .retain(|_, holders| holders.iter().any(|holder| now.since_ms(holder.used_at) < CACHE_TTL_MS));
+        self.segments.retain(|_, holders| {
+            holders
+                .iter()
+                .any(|holder| now.since_ms(holder.used_at) < CACHE_TTL_MS)
+        });
         if self.segments.len() < SEGMENTS_MAX {
             return;
         }
--- a/crates/reedsail_dispatch/src/server_list.rs
+++ b/crates/reedsail_dispatch/src/server_list.rs
@@ -36,8 +36,8 @@
 use crate::ServerRecord;
 use crate::ServerUpdate;
 use crate::UseChanges;
-use crate::departures::Departures;
 use crate::departures::DepartureEvidence;
+use crate::departures::Departures;
 use crate::server_entries::Entry;
 use crate::server_entries::ServerEntries;
 
@@ -377,7 +377,8 @@
         match earlier_name {
             None => delta.listed.push(id.clone()),
             Some(earlier_name) if earlier_name != name => {
-                self.departures.record(earlier_name, DepartureEvidence::Recorded, now);
+                self.departures
+                    .record(earlier_name, DepartureEvidence::Recorded, now);
                 self.gone.push(earlier_name);
                 delta.restarted.push(id.clone());
             }
--- a/crates/reedsail_dispatch/tests/allowed_regions.rs
+++ b/crates/reedsail_dispatch/tests/allowed_regions.rs
@@ -151,9 +151,11 @@
 #[test]
 fn allowed_regions_of_a_route_and_a_workspace_intersect() {
     let [west, east] = [REGIONS[0], REGIONS[1]].map(|name| Some(NameHash::of(name)));
-    let both = AllowedRegions::from_names(Some(&REGIONS[..2])).intersection(&AllowedRegions::from_names(Some(&REGIONS[1..])));
+    let both = AllowedRegions::from_names(Some(&REGIONS[..2]))
+        .intersection(&AllowedRegions::from_names(Some(&REGIONS[1..])));
     assert!(both.allows(east) && !both.allows(west) && !both.allows(None));
-    let none = AllowedRegions::from_names(Some(&REGIONS[..1])).intersection(&AllowedRegions::from_names(Some(&REGIONS[2..])));
+    let none = AllowedRegions::from_names(Some(&REGIONS[..1]))
+        .intersection(&AllowedRegions::from_names(Some(&REGIONS[2..])));
     assert!(none.is_empty() && !none.allows(west));
     let one = AllowedRegions::Any.intersection(&AllowedRegions::from_names(Some(&REGIONS[..1])));
     assert!(one.allows(west) && !one.allows(east));
--- a/crates/reedsail_dispatch/tests/decision_trace.rs
+++ b/crates/reedsail_dispatch/tests/decision_trace.rs
@@ -203,7 +203,8 @@
                 ..base
             };
             let decision = instance.dispatcher.decide(&demand, now);
-            self.trace.push_line(&format_decision(now, index, &demand, &decision));
+            self.trace
+                .push_line(&format_decision(now, index, &demand, &decision));
             let Decision::Send(placement) = decision else {
                 return;
             };
@@ -245,7 +246,9 @@
                     open.has_answered = true;
                 }
                 if open.ends_at <= now {
-                    instance.dispatcher.finish_attempt(open.attempt, open.outcome, now);
+                    instance
+                        .dispatcher
+                        .finish_attempt(open.attempt, open.outcome, now);
                 } else {
                     remaining.push(open);
                 }
@@ -477,7 +480,11 @@
             ids.sort();
         }
         let formatted_list = format_list(&lists[index], now);
-        trace.push_line(&format!("{} {index} {} {formatted_list}", now.0, format_delta(&delta)));
+        trace.push_line(&format!(
+            "{} {index} {} {formatted_list}",
+            now.0,
+            format_delta(&delta)
+        ));
     }
     insta::assert_snapshot!("server_list", trace.finish());
 }
--- a/crates/reedsail_dispatch/tests/domain_reach.rs
+++ b/crates/reedsail_dispatch/tests/domain_reach.rs
@@ -134,7 +134,10 @@
     let mut unanswered = 0;
     for seed in 0..20 {
         let (during_partition, after) = simulate_partition(seed * 1_000);
-        assert!(during_partition.iter().all(|unanswered| *unanswered <= 1), "{during_partition:?}");
+        assert!(
+            during_partition.iter().all(|unanswered| *unanswered <= 1),
+            "{during_partition:?}"
+        );
         assert!(after.iter().all(|unanswered| *unanswered == 0), "{after:?}");
         requests += during_partition.len();
         unanswered += during_partition.iter().sum::<u64>() as usize;
--- a/crates/reedsail_dispatch/tests/evacuations.rs
+++ b/crates/reedsail_dispatch/tests/evacuations.rs
@@ -49,7 +49,10 @@
         !evacuations.merge(&[row("hall-a", 5, true)]),
         "a peer that has not read the store yet"
     );
-    assert!(evacuations.apply(&full_read(vec![row("hall-a", 11, true), row("hall-b", 12, true)], 12)));
+    assert!(evacuations.apply(&full_read(
+        vec![row("hall-a", 11, true), row("hall-b", 12, true)],
+        12
+    )));
     assert_eq!(evacuations.active().len(), 2);
 }
 
@@ -81,9 +84,15 @@
     for (before, is_active_in_backup) in [(false, true), (true, false)] {
         let mut evacuations = Evacuations::default();
         evacuations.merge(&[of_era(1, 9, before)]);
-        assert!(!evacuations.merge(&[of_era(2, 5, is_active_in_backup)]), "may be from a backup");
+        assert!(
+            !evacuations.merge(&[of_era(2, 5, is_active_in_backup)]),
+            "may be from a backup"
+        );
         assert!(!evacuations.tick(TimeMs(1_000)));
-        assert!(!evacuations.merge(&[of_era(3, 4, is_active_in_backup)]), "may be from a backup as well");
+        assert!(
+            !evacuations.merge(&[of_era(3, 4, is_active_in_backup)]),
+            "may be from a backup as well"
+        );
         assert_eq!(evacuations.active().len(), usize::from(before));
         // The time starts at the first contradiction.
         assert!(!evacuations.tick(TimeMs(4_999)));
@@ -102,6 +111,9 @@
     evacuations.merge(&[of_era(1, 9, false)]);
     assert!(!evacuations.merge(&[of_era(2, 5, true)]));
     assert!(!evacuations.merge(&[of_era(3, 4, true)]));
-    assert!(evacuations.merge(&[of_era(3, 6, true)]), "was written in that era");
+    assert!(
+        evacuations.merge(&[of_era(3, 6, true)]),
+        "was written in that era"
+    );
     assert_eq!(evacuations.active().len(), 1);
 }
--- a/crates/reedsail_dispatch/tests/flood.rs
+++ b/crates/reedsail_dispatch/tests/flood.rs
@@ -25,5 +25,9 @@
         fleet.worst_served_ratio,
         alone.worst_served_ratio
     );
-    assert_eq!(report, measure_shares(7), "the same seed must give the same report");
+    assert_eq!(
+        report,
+        measure_shares(7),
+        "the same seed must give the same report"
+    );
 }
--- a/crates/reedsail_dispatch/tests/flood_simulation/mod.rs
+++ b/crates/reedsail_dispatch/tests/flood_simulation/mod.rs
@@ -228,7 +228,9 @@
     fn prefill(&mut self, placement: &Placement, now: TimeMs) -> TimeMs {
         let engine = self.engine_index(placement.server);
         let free_at = &mut self.engines_free_at[engine];
-        *free_at = (*free_at).max(now).plus_ms(u64::from(PROMPT_TOKENS) / PREFILL_TOKENS_PER_MS);
+        *free_at = (*free_at)
+            .max(now)
+            .plus_ms(u64::from(PROMPT_TOKENS) / PREFILL_TOKENS_PER_MS);
         *free_at
     }
 
@@ -255,7 +257,11 @@
     }
 
     fn exchange_reports(&mut self, now: TimeMs) {
-        let reports: Vec<_> = self.instances.iter_mut().map(|instance| instance.report(now)).collect();
+        let reports: Vec<_> = self
+            .instances
+            .iter_mut()
+            .map(|instance| instance.report(now))
+            .collect();
         for (sender, report) in reports.iter().enumerate() {
             let peer = NameHash::of(&format!("daemon-{sender}"));
             for (receiver, instance) in self.instances.iter_mut().enumerate() {
--- a/crates/reedsail_dispatch/tests/placement.rs
+++ b/crates/reedsail_dispatch/tests/placement.rs
@@ -191,7 +191,10 @@
                 placement,
             } => {
                 assert_eq!(kind, ErrorKind::WouldMissTarget);
-                assert!((100..LATENCY_TARGET_MS).contains(&retry_after_ms), "{retry_after_ms}");
+                assert!(
+                    (100..LATENCY_TARGET_MS).contains(&retry_after_ms),
+                    "{retry_after_ms}"
+                );
                 assert!(placement.is_some());
                 assert!(!attempts.is_empty());
                 return;
@@ -297,7 +300,10 @@
     let other = expect_placement(dispatcher.decide(&demand, START));
     assert_ne!(other.server, first.server);
     let later = START.plus_ms(30_000);
-    assert_eq!(expect_placement(dispatcher.decide(&demand, later)).server, first.server);
+    assert_eq!(
+        expect_placement(dispatcher.decide(&demand, later)).server,
+        first.server
+    );
 }
 
 #[test]
@@ -321,7 +327,10 @@
         for attempt in unanswered {
             dispatcher.finish_attempt(attempt, AttemptOutcome::Abandoned, now);
         }
-        assert_ne!(expect_placement(dispatcher.decide(&demand, now)).server, first.server);
+        assert_ne!(
+            expect_placement(dispatcher.decide(&demand, now)).server,
+            first.server
+        );
     }
 }
 
--- a/crates/reedsail_dispatch/tests/server_ends.rs
+++ b/crates/reedsail_dispatch/tests/server_ends.rs
@@ -143,6 +143,10 @@
     ] {
         let mut instance = instance_after(outcome);
         report_down(&mut instance, BROKE_AT.plus_ms(10));
-        assert_eq!(ended_requests(&mut instance, BROKE_AT.plus_ms(50)), [], "{outcome:?}");
+        assert_eq!(
+            ended_requests(&mut instance, BROKE_AT.plus_ms(50)),
+            [],
+            "{outcome:?}"
+        );
     }
 }
--- a/crates/reedsail_dispatch/tests/server_list.rs
+++ b/crates/reedsail_dispatch/tests/server_list.rs
@@ -144,7 +144,11 @@
     let mut peer = list.clone();
     list.record_store_failure();
     let store_back_at = TimeMs(6_000);
-    peer.apply(update(12, false, vec![announced("three")]), store_back_at, store_back_at);
+    peer.apply(
+        update(12, false, vec![announced("three")]),
+        store_back_at,
+        store_back_at,
+    );
     list.apply_listing(peer.listing(store_back_at), store_back_at);
     // Much later, this instance reads the store itself again.
     let later = TimeMs(20_000);
@@ -225,7 +229,10 @@
         age_ms: 100,
         departures: &[],
     };
-    assert_eq!(list.compare_with_peer(&peer_state, now), ListComparison::NothingNew);
+    assert_eq!(
+        list.compare_with_peer(&peer_state, now),
+        ListComparison::NothingNew
+    );
     assert_eq!(
         (list.revision(), list.age_ms(now)),
         (StorePosition::new(0, 30), 100)
@@ -270,7 +277,10 @@
         age_ms: 0,
         departures: &[],
     };
-    assert_eq!(with_suspects.compare_with_peer(&peer_state, now), ListComparison::Newer);
+    assert_eq!(
+        with_suspects.compare_with_peer(&peer_state, now),
+        ListComparison::Newer
+    );
     with_suspects.apply_listing(without_suspects.listing(now), now);
     assert_eq!(with_suspects.digest(), without_suspects.digest());
     assert!(with_suspects.tick(TimeMs(9_000)).is_empty());
--- a/crates/reedsail_dispatch/tests/server_notices.rs
+++ b/crates/reedsail_dispatch/tests/server_notices.rs
@@ -114,9 +114,15 @@
     let mut dispatcher = instance(&["app-1", "app-2"]);
     let draining_server = key(&dispatcher, "app-1");
     assert!(gets_requests(&mut dispatcher, "app-1", START));
-    assert!(dispatcher.record_notice(draining_server, DRAINING, START).is_draining);
     assert!(
-        !dispatcher.record_notice(draining_server, DRAINING, START).is_draining,
+        dispatcher
+            .record_notice(draining_server, DRAINING, START)
+            .is_draining
+    );
+    assert!(
+        !dispatcher
+            .record_notice(draining_server, DRAINING, START)
+            .is_draining,
         "must be known already"
     );
     assert!(!gets_requests(&mut dispatcher, "app-1", START));
--- a/crates/reedsail_dispatch/tests/shares.rs
+++ b/crates/reedsail_dispatch/tests/shares.rs
@@ -211,14 +211,20 @@
             .map(|row| row.sent_cost)
             .sum();
         let charged_cost = dispatcher.workspace_share(demand.workspace, later).sent_cost;
-        assert!((charged_cost - f64::from(reported)).abs() < 1.0, "{charged_cost} and {reported}");
+        assert!(
+            (charged_cost - f64::from(reported)).abs() < 1.0,
+            "{charged_cost} and {reported}"
+        );
         charged_cost
     };
     for outcome in [AttemptOutcome::Unreachable, AttemptOutcome::Rejected] {
         assert!(charged(outcome, true, false) < 1.0, "{outcome:?}");
     }
     let unwritten = charged(AttemptOutcome::Abandoned, false, false);
-    assert!(unwritten < 1.0, "charged an attempt that was abandoned before it was written");
+    assert!(
+        unwritten < 1.0,
+        "charged an attempt that was abandoned before it was written"
+    );
     // An attempt that a server may have worked on is charged regardless of its outcome.
     assert!(charged(AttemptOutcome::Abandoned, true, false) > 1.0);
     assert!(charged(AttemptOutcome::Abandoned, true, true) > 1.0);
--- a/crates/reedsail_dispatch/tests/slow_reader.rs
+++ b/crates/reedsail_dispatch/tests/slow_reader.rs
@@ -13,7 +13,10 @@
         watch.record_writable(TimeMs(written_at_ms + 15));
         // The caller waits for a slow server: this is no stall of the caller.
         watch.record_writable(TimeMs(written_at_ms + 9_000));
-        assert_eq!(watch.break_cause(TimeMs(written_at_ms + 9_000)), BreakCause::Server);
+        assert_eq!(
+            watch.break_cause(TimeMs(written_at_ms + 9_000)),
+            BreakCause::Server
+        );
     }
 }
 
--- a/crates/reedsail_dispatch/tests/slow_start.rs
+++ b/crates/reedsail_dispatch/tests/slow_start.rs
@@ -129,7 +129,10 @@
     let arrivals = arrivals(&mut fleet(&servers), 10_000, 13_000);
     for (server, arrival_times) in &arrivals {
         let max_arrivals = max_arrivals_in_a_second(arrival_times);
-        assert!(server % 3 > 0 || max_arrivals <= ARRIVALS_MAX, "{server}: {max_arrivals}");
+        assert!(
+            server % 3 > 0 || max_arrivals <= ARRIVALS_MAX,
+            "{server}: {max_arrivals}"
+        );
     }
 }
 
--- a/crates/reedsail_dispatch/tests/store_eras.rs
+++ b/crates/reedsail_dispatch/tests/store_eras.rs
@@ -94,7 +94,10 @@
         "an older era does not make the list fresh"
     );
     let delta = new.apply(whole(1, 99, &["one"]), now, now);
-    assert!(delta.is_empty(), "a late answer from the older era must change nothing");
+    assert!(
+        delta.is_empty(),
+        "a late answer from the older era must change nothing"
+    );
 }
 
 #[test]
@@ -203,7 +206,10 @@
             vec![row(2, 3, true)]
         };
         assert!(!evacuations.apply(&read(rows, Some(StorePosition::new(2, 5)))));
-        assert_eq!((evacuations.active().is_empty(), evacuations.withheld()), (!was_active, 1));
+        assert_eq!(
+            (evacuations.active().is_empty(), evacuations.withheld()),
+            (!was_active, 1)
+        );
         let mut written_again = evacuations.clone();
         assert!(!written_again.apply(&read(vec![row(2, 6, was_active)], None)));
         assert_eq!(
@@ -214,6 +220,9 @@
         evacuations.tick(START);
         assert!(!evacuations.tick(START.plus_ms(3_999)));
         assert!(evacuations.tick(START.plus_ms(4_000)));
-        assert_eq!((evacuations.active().is_empty(), evacuations.withheld()), (was_active, 0));
+        assert_eq!(
+            (evacuations.active().is_empty(), evacuations.withheld()),
+            (was_active, 0)
+        );
     }
 }
--- a/crates/reedsail_fairness/src/share_ledger.rs
+++ b/crates/reedsail_fairness/src/share_ledger.rs
@@ -93,7 +93,10 @@
     /// Returns every window of a workspace in each second of which one of its requests was refused or late.
     pub fn windows(&self) -> impl Iterator<Item = ShareWindow> {
         let lengths = self.accounts.values().map(|account| account.steps.len());
-        let window_count = lengths.max().unwrap_or(0).saturating_sub(WINDOW_S * STEPS_PER_SECOND - 1);
+        let window_count = lengths
+            .max()
+            .unwrap_or(0)
+            .saturating_sub(WINDOW_S * STEPS_PER_SECOND - 1);
         (0..window_count).flat_map(|first_step| self.windows_from(first_step))
     }
 
@@ -103,7 +106,8 @@
             .iter()
             .map(|(workspace, account)| (workspace, account.seconds(first_step)))
             .collect();
-        let begun_cost = |seconds: &[Step; WINDOW_S]| seconds.iter().map(|second| second.begun_cost).sum::<f64>();
+        let begun_cost =
+            |seconds: &[Step; WINDOW_S]| seconds.iter().map(|second| second.begun_cost).sum::<f64>();
         let best = seconds_by_workspace
             .iter()
             .max_by(|(_, left), (_, right)| begun_cost(left).total_cmp(&begun_cost(right)));
@@ -134,7 +138,9 @@
         if !self.accounts.contains_key(workspace) {
             self.accounts.insert(workspace.to_owned(), Account::default());
         }
-        self.accounts.get_mut(workspace).expect("account was inserted above")
+        self.accounts
+            .get_mut(workspace)
+            .expect("account was inserted above")
     }
 }
 
--- a/crates/reedsail_gossip/src/exchange_pace.rs
+++ b/crates/reedsail_gossip/src/exchange_pace.rs
@@ -18,10 +18,10 @@
 use crate::exchange_timing::AGGREGATE_INTERVAL_MS;
 use crate::exchange_timing::AGGREGATE_VALID_MIN_MS;
 use crate::exchange_timing::AGGREGATOR_TIMEOUT_MIN_MS;
-use crate::exchange_timing::INTER_AGGREGATOR_INTERVAL_MS;
 use crate::exchange_timing::HEARTBEAT_MS;
 use crate::exchange_timing::IDLE_INTERVAL_MS;
 use crate::exchange_timing::IDLE_TICK_MS;
+use crate::exchange_timing::INTER_AGGREGATOR_INTERVAL_MS;
 use crate::exchange_timing::MEMBER_VALID_MIN_MS;
 
 /// Half-intervals for which load is valid: two intervals may pass, and a message may be late.
--- a/crates/reedsail_gossip/src/fleet_view.rs
+++ b/crates/reedsail_gossip/src/fleet_view.rs
@@ -72,7 +72,8 @@
 
     /// Returns the number of instances of this instance's failure domain from the last sum; zero without a recent sum.
     pub(crate) fn domain_instances(&self, now: TimeMs) -> usize {
-        self.recent_sum(now).map_or(0, |sum| sum.domain_instances as usize)
+        self.recent_sum(now)
+            .map_or(0, |sum| sum.domain_instances as usize)
     }
 
     /// Returns the mean age of the summed load, in milliseconds.
--- a/crates/reedsail_gossip/src/known_aggregators.rs
+++ b/crates/reedsail_gossip/src/known_aggregators.rs
@@ -44,13 +44,23 @@
         targets
     }
 
-    fn targets_in(&self, domain: NameHash, ranked: &[SocketAddrV4], search_round: usize) -> Vec<SocketAddrV4> {
-        let is_connected =
-            domain == self.own_domain || self.active.iter().any(|(active_domain, _)| *active_domain == domain);
+    fn targets_in(
+        &self,
+        domain: NameHash,
+        ranked: &[SocketAddrV4],
+        search_round: usize,
+    ) -> Vec<SocketAddrV4> {
+        let is_connected = domain == self.own_domain
+            || self
+                .active
+                .iter()
+                .any(|(active_domain, _)| *active_domain == domain);
         if is_connected {
             return ranked.iter().take(self.aggregators_per_domain).copied().collect();
         }
-        let best_ranked = ranked.iter().take(self.aggregators_per_domain.max(SEARCHED_RANKS));
+        let best_ranked = ranked
+            .iter()
+            .take(self.aggregators_per_domain.max(SEARCHED_RANKS));
         let next = ranked.iter().cycle().skip(search_round % ranked.len()).take(1);
         best_ranked.chain(next).copied().collect()
     }
--- a/crates/reedsail_gossip/src/load_exchange/mod.rs
+++ b/crates/reedsail_gossip/src/load_exchange/mod.rs
@@ -129,13 +129,19 @@
         for instance in self.reports.drop_expired(now) {
             if self.sources.remove(&instance).is_some() {
                 let silent_address = None;
-                lost.push(LostSource { instance, silent_address });
+                lost.push(LostSource {
+                    instance,
+                    silent_address,
+                });
             }
         }
         for (instance, address) in self.peers.drop_silent(now) {
             if self.sources.remove(&instance).is_some() {
                 let silent_address = Some(address);
-                lost.push(LostSource { instance, silent_address });
+                lost.push(LostSource {
+                    instance,
+                    silent_address,
+                });
             }
         }
         self.update_direct_timing(now);
@@ -239,7 +245,9 @@
             return None;
         }
         let aggregator = self.choice.chosen().and_then(|name| self.peers.get(name));
-        Some(aggregator.map_or(ReportTarget::Itself, |peer| ReportTarget::Aggregator(peer.address)))
+        Some(aggregator.map_or(ReportTarget::Itself, |peer| {
+            ReportTarget::Aggregator(peer.address)
+        }))
     }
 
     /// Returns whether this instance sends sums: it has members, or no aggregator to report to.
--- a/crates/reedsail_gossip/src/load_exchange/send.rs
+++ b/crates/reedsail_gossip/src/load_exchange/send.rs
@@ -50,7 +50,12 @@
     }
 
     /// Returns the messages to send now; `load` is this instance's report, if it is due.
-    pub fn outgoing(&mut self, header: &MessageHeader, load: Option<LoadReport>, now: TimeMs) -> Vec<Outgoing> {
+    pub fn outgoing(
+        &mut self,
+        header: &MessageHeader,
+        load: Option<LoadReport>,
+        now: TimeMs,
+    ) -> Vec<Outgoing> {
         let mut outgoing = self.introduce_new_peers(header, now);
         let Some(load) = load else {
             return outgoing;
--- a/crates/reedsail_gossip/src/prefix_relay.rs
+++ b/crates/reedsail_gossip/src/prefix_relay.rs
@@ -60,7 +60,8 @@
         if self.relayed_at.len() < RELAYED_ROWS_MAX {
             return;
         }
-        self.relayed_at.retain(|_, at| now.since_ms(*at) < REPEAT_SUPPRESSED_MS);
+        self.relayed_at
+            .retain(|_, at| now.since_ms(*at) < REPEAT_SUPPRESSED_MS);
         if self.relayed_at.len() >= RELAYED_ROWS_MAX {
             self.relayed_at.clear();
         }
--- a/crates/reedsail_gossip/tests/idle_fleet.rs
+++ b/crates/reedsail_gossip/tests/idle_fleet.rs
@@ -90,7 +90,8 @@
     Cost {
         median_bytes: median_per_s(of(|traffic| traffic.sent_bytes + traffic.received_bytes)),
         median_wake_ups: median_per_s(of(|traffic| traffic.wake_ups)),
-        cross_domain_bytes: of(|traffic| traffic.cross_domain_bytes).iter().sum::<u64>() * 1_000 / MEASUREMENT_MS,
+        cross_domain_bytes: of(|traffic| traffic.cross_domain_bytes).iter().sum::<u64>() * 1_000
+            / MEASUREMENT_MS,
     }
 }
 
--- a/crates/reedsail_gossip/tests/load_exchange.rs
+++ b/crates/reedsail_gossip/tests/load_exchange.rs
@@ -170,7 +170,11 @@
     network.run_for(1_600);
     let wrong: Vec<usize> = network.instances_with_wrong_load();
     // The others miss only the load of the partitioned instance.
-    for index in network.instances_up_in(1).into_iter().filter(|index| *index != aggregator) {
+    for index in network
+        .instances_up_in(1)
+        .into_iter()
+        .filter(|index| *index != aggregator)
+    {
         let missing = network.actual_running_elsewhere(index) - network.running_elsewhere(index);
         assert!(missing <= 4, "{index} misses {missing}");
     }
--- a/crates/reedsail_gossip/tests/simulated_network/mod.rs
+++ b/crates/reedsail_gossip/tests/simulated_network/mod.rs
@@ -131,8 +131,19 @@
     }
 
     /// Creates a network of instances that have the same share of a core.
-    pub(crate) fn start_uniform(instance_count: usize, domains: usize, processor_milli: u32, seed: u64) -> Self {
-        Self::start_with(instance_count, domains, |_| processor_milli, Links::default(), seed)
+    pub(crate) fn start_uniform(
+        instance_count: usize,
+        domains: usize,
+        processor_milli: u32,
+        seed: u64,
+    ) -> Self {
+        Self::start_with(
+            instance_count,
+            domains,
+            |_| processor_milli,
+            Links::default(),
+            seed,
+        )
     }
 
     fn start_with(
@@ -264,7 +275,12 @@
 
     /// Restarts an instance, which then knows only its seeds.
     pub(crate) fn restart(&mut self, index: usize) {
-        let domains = 1 + self.instances.iter().map(|instance| instance.domain).max().unwrap();
+        let domains = 1 + self
+            .instances
+            .iter()
+            .map(|instance| instance.domain)
+            .max()
+            .unwrap();
         let processor_milli = self.instances[index].processor_milli;
         let identity = identity(index, domains, processor_milli, &mut self.random);
         let instance = &mut self.instances[index];
@@ -388,12 +404,15 @@
             is_draining: false,
             is_backed_off: false,
         };
-        let load = instance.exchange.is_due(&instance.header, now).then(|| LoadReport {
-            servers: [&[server_row][..], &instance.load.servers].concat(),
-            workspaces: instance.load.workspaces.clone(),
-            prefixes: std::mem::take(&mut instance.prefixes),
-            suspects: instance.suspects.clone(),
-        });
+        let load = instance
+            .exchange
+            .is_due(&instance.header, now)
+            .then(|| LoadReport {
+                servers: [&[server_row][..], &instance.load.servers].concat(),
+                workspaces: instance.load.workspaces.clone(),
+                prefixes: std::mem::take(&mut instance.prefixes),
+                suspects: instance.suspects.clone(),
+            });
         if instance.is_first_release {
             self.send_as_first_release(index, load.unwrap_or_default());
             return;
@@ -454,7 +473,8 @@
     fn send(&mut self, from: usize, to: usize, message: LoadMessage) {
         let (from_domain, to_domain) = (self.instances[from].domain, self.instances[to].domain);
         let crosses_partition = from_domain != to_domain
-            && (self.partitioned_domains.contains(&from_domain) || self.partitioned_domains.contains(&to_domain));
+            && (self.partitioned_domains.contains(&from_domain)
+                || self.partitioned_domains.contains(&to_domain));
         let is_partitioned = crosses_partition
             || self.partitioned_instances.contains(&from)
             || self.partitioned_instances.contains(&to);
@@ -468,7 +488,10 @@
 
     /// Returns the number of requests of other instances on [`SERVER`], as an instance knows it.
     pub(crate) fn running_elsewhere(&self, index: usize) -> u32 {
-        let rows = self.instances[index].counted.values().flat_map(|load| &load.servers);
+        let rows = self.instances[index]
+            .counted
+            .values()
+            .flat_map(|load| &load.servers);
         let server_rows = rows.filter(|row| row.server == SERVER);
         server_rows.map(|row| u32::from(row.running)).sum()
     }
--- a/crates/reedsail_router/benches/instance_cost.rs
+++ b/crates/reedsail_router/benches/instance_cost.rs
@@ -195,7 +195,11 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
-    report(&format!("a sum over the fleet of {bytes} bytes"), &before, FLEET_SUMS);
+    report(
+        &format!("a sum over the fleet of {bytes} bytes"),
+        &before,
+        FLEET_SUMS,
+    );
 }
 
 /// Sends load messages of `peers` peers, and measures the cost of receiving one, including what the instance sends
--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -361,7 +361,8 @@
     async fn handle(&mut self, read: ServersRead, _: &mut Context<Self>) {
         let now = self.shared.clock.now();
         let delta = self.servers.apply(read.update, read.asked_at, now);
-        self.era.log_era_change(&self.shared, &self.servers, Origin::Store);
+        self.era
+            .log_era_change(&self.shared, &self.servers, Origin::Store);
         log_and_publish_delta(&self.shared, &mut self.servers, &delta, Origin::Store, now);
         self.notify_if_urgent(now);
     }
@@ -437,7 +438,8 @@
                 self.shared.dispatcher().announce_suspects(now);
             }
         }
-        self.configuration.merge_peer_age(peer_configuration, self.own_version(), now);
+        self.configuration
+            .merge_peer_age(peer_configuration, self.own_version(), now);
         let comparison = self.servers.compare_with_peer(&peer_list, now);
         self.era.log_era_change(&self.shared, &self.servers, Origin::Peer);
         match comparison {
--- a/crates/reedsail_router/src/control/follow.rs
+++ b/crates/reedsail_router/src/control/follow.rs
@@ -92,7 +92,8 @@
     let asked_at = clock.now();
     let limit = Duration::from_millis(LONG_POLL_MS + ANSWER_TIMEOUT_MS);
     let outcome = timeout(limit, source.next(LONG_POLL_MS)).await;
-    let outcome = outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("the answer timed out".to_owned())));
+    let outcome =
+        outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("the answer timed out".to_owned())));
     let update = match outcome {
         Ok(update) => update,
         Err(error) => return Some(error.to_string()),
@@ -143,7 +144,11 @@
     loop {
         let known_revision = wait_for_turn(&control, StoreTopic::Servers).await;
         let asked_at = clock.now();
-        let outcome = timeout(Duration::from_millis(ANSWER_TIMEOUT_MS), source.poll(known_revision)).await;
+        let outcome = timeout(
+            Duration::from_millis(ANSWER_TIMEOUT_MS),
+            source.poll(known_revision),
+        )
+        .await;
         let outcome =
             outcome.unwrap_or_else(|_| Err(SourceError::Unreachable("the answer timed out".to_owned())));
         let fault = match outcome {
--- a/crates/reedsail_router/src/log_cursor.rs
+++ b/crates/reedsail_router/src/log_cursor.rs
@@ -56,7 +56,10 @@
     /// Returns an error if the answer belongs to an older era: it dates from before the store was restored.
     pub fn observe_era(&mut self, era: u32) -> Result<bool, SourceError> {
         if era < self.era {
-            let fault = format!("the answer is of era {era}, older than the known era {}", self.era);
+            let fault = format!(
+                "the answer is of era {era}, older than the known era {}",
+                self.era
+            );
             return Err(SourceError::Unreachable(fault));
         }
         let is_new_era = era > self.era;
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -70,7 +70,9 @@
     /// [`ErrorKind::NoAllowedRegion`] if no region is left.
     pub(crate) fn allowed_regions(&self, newest: &RouteTable) -> Result<AllowedRegions, ErrorKind> {
         let workspace = self.workspace.as_ref().map(|workspace| workspace.hash);
-        let regions = self.regions.intersection(&newest.allowed_regions(&self.route, workspace));
+        let regions = self
+            .regions
+            .intersection(&newest.allowed_regions(&self.route, workspace));
         if regions.is_empty() {
             return Err(ErrorKind::NoAllowedRegion);
         }
--- a/crates/reedsail_router/src/traffic/server_notices.rs
+++ b/crates/reedsail_router/src/traffic/server_notices.rs
@@ -25,7 +25,9 @@
 
 /// Records the notice about the server that a response carries, if there is one.
 pub(super) fn process_notice<H: HeaderProtocol>(shared: &Shared<H>, response_head: &ServerResponseHead<'_>) {
-    let notice = shared.protocol.read_notice(response_head.status, response_head.headers);
+    let notice = shared
+        .protocol
+        .read_notice(response_head.status, response_head.headers);
     if notice.is_empty() {
         return;
     }
--- a/crates/reedsail_router/tests/callers_gone.rs
+++ b/crates/reedsail_router/tests/callers_gone.rs
@@ -60,7 +60,10 @@
     })
     .await;
     assert!(fixture.app.runs().is_empty());
-    assert_eq!(ask(fixture.callers(), "/again/", &[]).await.status, StatusCode::OK);
+    assert_eq!(
+        ask(fixture.callers(), "/again/", &[]).await.status,
+        StatusCode::OK
+    );
     assert_eq!(fixture.app.runs().len(), 1);
 }
 
--- a/crates/reedsail_router/tests/common/mod.rs
+++ b/crates/reedsail_router/tests/common/mod.rs
@@ -339,7 +339,10 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(timeout(WAIT_TIMEOUT, waiting).await.is_ok(), "timed out waiting for {what}");
+    assert!(
+        timeout(WAIT_TIMEOUT, waiting).await.is_ok(),
+        "timed out waiting for {what}"
+    );
 }
 
 /// A ready router with one server of each service behind it.
--- a/crates/reedsail_router/tests/control_state.rs
+++ b/crates/reedsail_router/tests/control_state.rs
@@ -170,7 +170,10 @@
     let stop_task = tokio::spawn(fixture.router.close());
     // The open stream keeps the router running after it stops accepting new requests.
     wait_for("refusal", async || {
-        ask(callers, "/open/", &long_deadline).await.text().starts_with("stopping")
+        ask(callers, "/open/", &long_deadline)
+            .await
+            .text()
+            .starts_with("stopping")
     })
     .await;
     let short_deadline = [("reedsail-deadline-ms", "500")];
--- a/crates/reedsail_router/tests/golden.rs
+++ b/crates/reedsail_router/tests/golden.rs
@@ -88,10 +88,16 @@
         ("store", settings.store.to_string()),
         ("seeds", format!("{:?}", settings.seeds)),
         ("memory_mb", settings.memory_mb.to_string()),
-        ("memory_mb, open requests", settings.open_requests_max().to_string()),
+        (
+            "memory_mb, open requests",
+            settings.open_requests_max().to_string(),
+        ),
         ("memory_mb, connections", settings.connections_max().to_string()),
         ("processor_share", settings.processor_share.to_string()),
-        ("processor_share, thousandths", settings.processor_milli().to_string()),
+        (
+            "processor_share, thousandths",
+            settings.processor_milli().to_string(),
+        ),
         ("stop.accept_ms", stop.accept_ms.to_string()),
         ("stop.end_ms", stop.end_ms.to_string()),
         ("dispatch.repeat_ratio", dispatch.retry_ratio.to_string()),
@@ -308,13 +314,19 @@
         };
         servers.send(Ok(update)).unwrap();
     };
-    configurations.send(Ok(configuration_update(Ok(configuration(1))))).unwrap();
+    configurations
+        .send(Ok(configuration_update(Ok(configuration(1)))))
+        .unwrap();
     wait_for_line(EventKind::ConfigurationInForce, "hall-b-1").await;
     let unreadable = SourceError::Unreadable("it is torn".to_owned());
-    configurations.send(Ok(configuration_update(Err(unreadable)))).unwrap();
+    configurations
+        .send(Ok(configuration_update(Err(unreadable))))
+        .unwrap();
     wait_for_line(EventKind::ConfigurationInvalid, "torn").await;
     wait_for_line(EventKind::SourceLost, "hall-b-1").await;
-    configurations.send(Ok(configuration_update(Ok(configuration(2))))).unwrap();
+    configurations
+        .send(Ok(configuration_update(Ok(configuration(2)))))
+        .unwrap();
     wait_for_line(EventKind::SourceBack, "hall-b-1").await;
     send_changes(vec![ServerChange::Announced(server(false))]);
     wait_for_line(EventKind::ServerListed, "hall-b-1").await;
@@ -330,7 +342,9 @@
     })]);
     wait_for_line(EventKind::ServerCold, "hall-b-1").await;
     for (revision, is_active) in [(1, true), (2, false)] {
-        configurations.send(Ok(evacuation_update(revision, is_active))).unwrap();
+        configurations
+            .send(Ok(evacuation_update(revision, is_active)))
+            .unwrap();
     }
     wait_for_line(EventKind::DomainEvacuated, "hall-b-1").await;
     wait_for_line(EventKind::DomainReturned, "hall-b-1").await;
--- a/crates/reedsail_router/tests/requests.rs
+++ b/crates/reedsail_router/tests/requests.rs
@@ -67,7 +67,12 @@
 #[tokio::test]
 async fn an_anonymous_route_accepts_any_request() {
     let fixture = RouterFixture::start().await;
-    let reply = ask(fixture.callers(), "/open/x", &[("authorization", "Bearer nobody")]).await;
+    let reply = ask(
+        fixture.callers(),
+        "/open/x",
+        &[("authorization", "Bearer nobody")],
+    )
+    .await;
     assert_eq!(reply.status, StatusCode::OK);
     assert_eq!(fixture.app.runs()[0].header("reedsail-workspace"), "");
 }
@@ -291,7 +296,10 @@
         kept.push((caller, reply.header("connection").to_owned()));
     }
     let options: Vec<&str> = kept.iter().map(|(_, options)| options.as_str()).collect();
-    assert!(options[..10].iter().all(|options| options.is_empty()), "{options:?}");
+    assert!(
+        options[..10].iter().all(|options| options.is_empty()),
+        "{options:?}"
+    );
     assert_eq!(options[10], "close");
 }
 
--- a/crates/reedsail_router/tests/server_notices.rs
+++ b/crates/reedsail_router/tests/server_notices.rs
@@ -104,7 +104,13 @@
         for _ in 0..REQUESTS {
             ask(fixture.callers(), case.path, &[]).await;
         }
-        assert_eq!(server.runs().len(), runs_before, "{}: {:?}", case.path, case.answer);
+        assert_eq!(
+            server.runs().len(),
+            runs_before,
+            "{}: {:?}",
+            case.path,
+            case.answer
+        );
     }
 }
 
--- a/crates/reedsail_router/tests/slow_readers.rs
+++ b/crates/reedsail_router/tests/slow_readers.rs
@@ -62,7 +62,11 @@
         assert!(read_bytes <= BUFFERED_BYTES_MAX, "{path}: {read_bytes}");
         // The request ran once, and did not count as a failure of the server.
         assert_eq!(fixture.llm.runs().len() + second.runs().len(), 1, "{path}");
-        let unread = metric(&fixture, "reedsail_router_answers_total{outcome=\"caller_stalled\"}").await;
+        let unread = metric(
+            &fixture,
+            "reedsail_router_answers_total{outcome=\"caller_stalled\"}",
+        )
+        .await;
         let gone = metric(&fixture, "reedsail_router_answers_total{outcome=\"caller_gone\"}").await;
         let broken_off = metric(
             &fixture,
--- a/crates/reedsail_router/tests/suspension.rs
+++ b/crates/reedsail_router/tests/suspension.rs
@@ -49,7 +49,10 @@
     }
     let callers = fixture.callers();
     let asking = tokio::spawn(async move { ask(callers, "/again/", &[]).await });
-    wait_for("run", async || fixture.app.runs().len() + second.runs().len() == 1).await;
+    wait_for("run", async || {
+        fixture.app.runs().len() + second.runs().len() == 1
+    })
+    .await;
     suspension.suspend(5_000);
     let (first, other) = if second.runs().is_empty() {
         (&fixture.app, &second)
@@ -77,7 +80,10 @@
     let headers = [("reedsail-deadline-ms", deadline.as_str())];
     let asking = ask(fixture.callers(), path, &headers);
     let suspending = async {
-        wait_for("run", async || fixture.app.runs().len() + fixture.llm.runs().len() == 1).await;
+        wait_for("run", async || {
+            fixture.app.runs().len() + fixture.llm.runs().len() == 1
+        })
+        .await;
         suspension.suspend(SUSPENSION_MS);
     };
     let both = async { tokio::join!(asking, suspending) };
