--- a/crates/reedsail_gossip/tests/exchange_pace.rs
+++ b/crates/reedsail_gossip/tests/exchange_pace.rs
@@ -12,9 +12,9 @@
     assert_eq!(interval_ms(500), 4 * AGGREGATE_INTERVAL_MS);
     assert_eq!(interval_ms(250), 16 * AGGREGATE_INTERVAL_MS);
     assert_eq!(interval_ms(0), IDLE_INTERVAL_MS);
-    let intervals_ms: Vec<u64> = (0..=1_000).map(interval_ms).collect();
+    let ms_by_pressure: Vec<u64> = (0..=1_000).map(interval_ms).collect();
     assert!(
-        intervals_ms
+        ms_by_pressure
             .is_sorted_by(|at_lower_pressure, at_higher_pressure| at_lower_pressure >= at_higher_pressure)
     );
 }
