--- a/crates/reedsail_dispatch/src/server_entries.rs
+++ b/crates/reedsail_dispatch/src/server_entries.rs
@@ -95,7 +95,7 @@
     history: ListHistory,
     suspects: HashSet<Arc<str>>,
     cold: HashSet<Arc<str>>,
-    from_backup: HashSet<Arc<str>>,
+    backup_entries: HashSet<Arc<str>>,
 }
 
 impl ServerEntries {
@@ -131,8 +131,8 @@
     }
 
     /// Returns the servers whose records come from a backup of the store.
-    pub(crate) fn from_backup(&self) -> impl Iterator<Item = &Entry> {
-        self.from_backup.iter().filter_map(|id| self.entries.get(id))
+    pub(crate) fn backup_entries(&self) -> impl Iterator<Item = &Entry> {
+        self.backup_entries.iter().filter_map(|id| self.entries.get(id))
     }
 
     /// Returns the suspect servers whose grace period is over.
@@ -166,7 +166,7 @@
         self.digest = self.digest.wrapping_add(entry.digest());
         set_member(&mut self.suspects, &id, entry.suspect_until.is_some());
         set_member(&mut self.cold, &id, entry.cold_until.is_some());
-        set_member(&mut self.from_backup, &id, entry.is_from_backup);
+        set_member(&mut self.backup_entries, &id, entry.is_from_backup);
         if let Some(before) = self.entries.insert(Arc::clone(&id), entry) {
             self.digest = self.digest.wrapping_sub(before.digest());
         }
@@ -178,7 +178,7 @@
         let (id, entry) = self.entries.remove_entry(id)?;
         let digest_before = self.digest;
         self.digest = self.digest.wrapping_sub(entry.digest());
-        for set in [&mut self.suspects, &mut self.cold, &mut self.from_backup] {
+        for set in [&mut self.suspects, &mut self.cold, &mut self.backup_entries] {
             set.remove(&id);
         }
         self.record_change(digest_before, &id);
--- a/crates/reedsail_dispatch/src/server_list.rs
+++ b/crates/reedsail_dispatch/src/server_list.rs
@@ -249,8 +249,8 @@
     /// their records had announced a departure. Such a departure is kept for as long as it is advertised. By then the
     /// store has dropped a server that has departed.
     pub fn kept_departures(&self) -> Vec<String> {
-        let from_backup = self.entries.from_backup();
-        let kept = from_backup.filter(|entry| self.is_departure_kept(entry));
+        let backup_entries = self.entries.backup_entries();
+        let kept = backup_entries.filter(|entry| self.is_departure_kept(entry));
         kept.map(|entry| entry.record.id.clone()).collect()
     }
 
