--- a/crates/reedsail_router/src/control/share_watch.rs
+++ b/crates/reedsail_router/src/control/share_watch.rs
@@ -31,10 +31,10 @@
             return;
         }
         self.next_check_at = now.plus_ms(CHECK_INTERVAL_MS);
-        let shares = shared.dispatcher().own_workspace_shares(now);
-        let active: HashSet<NameHash> = shares.iter().map(|(workspace, _)| *workspace).collect();
+        let workspace_shares = shared.dispatcher().own_workspace_shares(now);
+        let active: HashSet<NameHash> = workspace_shares.iter().map(|(workspace, _)| *workspace).collect();
         self.over_share.retain(|workspace| active.contains(workspace));
-        for (workspace, share) in shares {
+        for (workspace, share) in workspace_shares {
             let has_crossed = if share.is_exceeded() {
                 self.over_share.insert(workspace)
             } else {
