--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -155,9 +155,11 @@
         if is_reader(own, domain_scope, candidates, timing) {
             return ReadTurn::Now(self.servers.revision());
         }
-        let place = self.exchange.domain_position(now);
+        let domain_position = self.exchange.domain_position(now);
         match staleness(topic, age_ms, timing) {
-            Staleness::For(stale_ms) if is_turn(place.position, place.instances, stale_ms) => {
+            Staleness::For(stale_ms)
+                if is_turn(domain_position.position, domain_position.instances, stale_ms) =>
+            {
                 ReadTurn::Now(self.servers.revision())
             }
             Staleness::For(_) => ReadTurn::After(ELECTION_CHECK_MIN_MS),
@@ -167,16 +169,16 @@
         }
     }
 
-    /// Builds the part of each load message that describes this instance.
-    fn message_head(&self, now: TimeMs) -> MessageHeader {
+    /// Builds the header of a load message, which describes this instance.
+    fn message_header(&self, now: TimeMs) -> MessageHeader {
         MessageHeader {
             departures: self.servers.departures(),
-            ..self.head_without_departures(now)
+            ..self.header_without_departures(now)
         }
     }
 
-    /// Builds the same without departures, which are never urgent by themselves and may be numerous.
-    fn head_without_departures(&self, now: TimeMs) -> MessageHeader {
+    /// Builds the header without departures, which are never urgent by themselves and may be numerous.
+    fn header_without_departures(&self, now: TimeMs) -> MessageHeader {
         MessageHeader {
             configuration_version: self.own_version(),
             configuration_age_ms: saturating_ms(self.configuration.age_ms(now)),
@@ -223,7 +225,7 @@
 
     /// Wakes the sender of load messages if peers must learn of an urgent change.
     fn notify_if_urgent(&self, now: TimeMs) {
-        if self.exchange.is_urgent(&self.head_without_departures(now), now) {
+        if self.exchange.is_urgent(&self.header_without_departures(now), now) {
             self.shared.peer_send_requested.notify_one();
         }
     }
@@ -267,26 +269,26 @@
     }
 
     /// Passes the load of a received message to the dispatcher, in place of the load that it replaces.
-    fn apply_load(&self, receipt: ReceiveOutcome, now: TimeMs) {
+    fn apply_load(&self, outcome: ReceiveOutcome, now: TimeMs) {
         let mut dispatcher = self.shared.dispatcher();
-        for source in receipt.dropped {
+        for source in outcome.dropped {
             dispatcher.drop_peer(source);
         }
-        if let Some((source, load)) = receipt.counted {
+        if let Some((source, load)) = outcome.counted {
             dispatcher.receive_report(source, load, now);
         }
     }
 
     /// Encodes the load messages that are due.
     fn due_messages(&mut self, now: TimeMs) -> Vec<Datagram> {
-        let mut head = self.message_head(now);
-        let is_due = self.exchange.is_due(&head, now);
+        let mut header = self.message_header(now);
+        let is_due = self.exchange.is_due(&header, now);
         let load = is_due.then(|| {
             let mut dispatcher = self.shared.dispatcher();
-            head.load_pressure_milli = (dispatcher.load_pressure() * 1_000.0) as u32;
+            header.load_pressure_milli = (dispatcher.load_pressure() * 1_000.0) as u32;
             dispatcher.report(now)
         });
-        let outgoing = self.exchange.outgoing(&head, load, now);
+        let outgoing = self.exchange.outgoing(&header, load, now);
         if let Some(reports_to) = self.exchange.take_aggregator_change() {
             let aggregator = match reports_to {
                 ReportTarget::Itself => "this instance".to_owned(),
@@ -427,8 +429,8 @@
         let peer_configuration = PeerConfiguration::of(&message);
         self.evacuations
             .merge(&self.shared, &self.servers, &message.evacuations, now);
-        let receipt = self.exchange.receive(message, received.from, now);
-        match receipt.arrival {
+        let outcome = self.exchange.receive(message, received.from, now);
+        match outcome.arrival {
             Arrival::Stale => return,
             Arrival::FromAlive => {}
             Arrival::FromNew => {
@@ -448,7 +450,7 @@
             }
             ListComparison::NothingNew | ListComparison::Newer => {}
         }
-        self.apply_load(receipt, now);
+        self.apply_load(outcome, now);
         self.notify_if_urgent(now);
     }
 }
@@ -465,17 +467,17 @@
 impl<H: HeaderProtocol> Handler<ListServers> for Control<H> {
     type Return = Option<Bytes>;
 
-    async fn handle(&mut self, asked: ListServers, _: &mut Context<Self>) -> Option<Bytes> {
+    async fn handle(&mut self, request: ListServers, _: &mut Context<Self>) -> Option<Bytes> {
         let now = self.shared.clock.now();
-        self.pages.page(&self.servers, asked.differs_from, now)
+        self.pages.page(&self.servers, request.differs_from, now)
     }
 }
 
 impl<H: HeaderProtocol> Handler<MayRead> for Control<H> {
     type Return = ReadTurn;
 
-    async fn handle(&mut self, asked: MayRead, _: &mut Context<Self>) -> ReadTurn {
-        self.read_turn(asked.0, self.shared.clock.now())
+    async fn handle(&mut self, request: MayRead, _: &mut Context<Self>) -> ReadTurn {
+        self.read_turn(request.0, self.shared.clock.now())
     }
 }
 
