--- a/crates/reedsail_router/src/traffic/request_log.rs
+++ b/crates/reedsail_router/src/traffic/request_log.rs
@@ -344,9 +344,9 @@
 
     fn emit(&self, kind: EventKind, fields: impl FnOnce() -> Vec<Field>) {
         self.shared.emit_with(kind, || {
-            let mut all = fields();
-            all.push(("request", self.id.clone()));
-            all
+            let mut all_fields = fields();
+            all_fields.push(("request", self.id.clone()));
+            all_fields
         });
     }
 }
