--- a/crates/reedsail_router/src/control/share_watch.rs
+++ b/crates/reedsail_router/src/control/share_watch.rs
@@ -13,7 +13,7 @@
 use crate::share_fields::share_fields;
 use crate::shared::Shared;
 
-/// Interval between two checks, in milliseconds. A workspace at its level crosses it many times a second, so checking
+/// Interval between two checks, in milliseconds. A workspace at its share crosses it many times a second, so checking
 /// on each tick would log many lines.
 const CHECK_INTERVAL_MS: u64 = 1_000;
 
