--- a/crates/reedsail_router/src/control/actor.rs
+++ b/crates/reedsail_router/src/control/actor.rs
@@ -289,8 +289,8 @@
             dispatcher.report(now)
         });
         let outgoing = self.exchange.outgoing(&header, load, now);
-        if let Some(reports_to) = self.exchange.take_aggregator_change() {
-            let aggregator = match reports_to {
+        if let Some(report_target) = self.exchange.take_aggregator_change() {
+            let aggregator = match report_target {
                 ReportTarget::Itself => "this instance".to_owned(),
                 ReportTarget::Aggregator(address) => address.to_string(),
             };
--- a/crates/reedsail_router/src/control/server_pages.rs
+++ b/crates/reedsail_router/src/control/server_pages.rs
@@ -34,13 +34,13 @@
         now: TimeMs,
     ) -> Option<Bytes> {
         let Some(digest) = differs_from else {
-            return Some(self.whole(list, now));
+            return Some(self.whole_page(list, now));
         };
         let difference = list.difference(digest, now)?;
         Some(to_json(&difference))
     }
 
-    fn whole(&mut self, list: &ServerList, now: TimeMs) -> Bytes {
+    fn whole_page(&mut self, list: &ServerList, now: TimeMs) -> Bytes {
         let is_valid = |page: &&WholePage| page.digest == list.digest() && now < page.valid_until;
         if let Some(page) = self.whole.as_ref().filter(is_valid) {
             return page.json.clone();
--- a/crates/reedsail_router/src/traffic/call.rs
+++ b/crates/reedsail_router/src/traffic/call.rs
@@ -161,7 +161,7 @@
     };
     let caller = workspace.as_ref().map(|workspace| workspace.hash);
     let fingerprint = fingerprint_of(caller, &parts, &body);
-    let service_name = choose_target(&route).ok_or(ErrorKind::UnknownRoute)?;
+    let service_name = choose_service(&route).ok_or(ErrorKind::UnknownRoute)?;
     let regions = routes.allowed_regions(&route, caller);
     remove_hop_headers(&mut parts.headers);
     parts.headers.remove(CONTENT_LENGTH);
@@ -206,7 +206,7 @@
 }
 
 /// Returns a random service of the route, weighted by the targets' weights.
-fn choose_target(route: &Route) -> Option<String> {
+fn choose_service(route: &Route) -> Option<String> {
     if let [only] = route.targets.as_slice() {
         return Some(only.service.clone());
     }
