--- a/crates/reedsail_router/tests/server_notices.rs
+++ b/crates/reedsail_router/tests/server_notices.rs
@@ -86,7 +86,7 @@
         let (server, service) = first_server(&fixture, case.path);
         let other = fixture.add_server("other", service).await;
         server.answer_with(&[case.answer]);
-        server.say(DRAINING_HEADERS);
+        server.set_headers(DRAINING_HEADERS);
         other.answer_with(&[case.other]);
         if case.other == broken_stream {
             let callers = fixture.callers();
@@ -129,7 +129,7 @@
         let other = fixture.add_server("other", service).await;
         let success = if service == "app" { WHOLE } else { STREAM };
         server.answer_with(&[RoutedAnswer::NotRun]);
-        server.say(BACKOFF_HEADERS);
+        server.set_headers(BACKOFF_HEADERS);
         other.answer_with(&[if is_retry { RoutedAnswer::NotRun } else { success }]);
         ask_until_reached(fixture.callers(), path, server).await;
         other.answer_with(&[success]);
@@ -146,7 +146,7 @@
 async fn a_request_is_refused_while_every_server_is_backed_off() {
     let fixture = RouterFixture::start().await;
     fixture.app.answer_with(&[RoutedAnswer::NotRun]);
-    fixture.app.say(BACKOFF_HEADERS);
+    fixture.app.set_headers(BACKOFF_HEADERS);
     ask(fixture.callers(), "/once/", &[]).await;
     assert_eq!(fixture.app.runs().len(), 1);
     let reply = ask(fixture.callers(), "/once/", &[]).await;
--- a/crates/reedsail_soak/src/player.rs
+++ b/crates/reedsail_soak/src/player.rs
@@ -11,7 +11,7 @@
 
 use reedsail_net::Clock;
 use reedsail_platform_standin::StoreCommand;
-use reedsail_platform_standin::StoreTrouble;
+use reedsail_platform_standin::StoreFaults;
 use rustix::process::Signal;
 use tokio::time::sleep;
 
@@ -121,23 +121,23 @@
             FaultKind::ServerAnswers(server, what) => self.disturb_answers(server, what, fault.for_ms).await,
             FaultKind::StoreRefuses => {
                 let refusal = Some(503);
-                let trouble = StoreTrouble {
+                let trouble = StoreFaults {
                     refusal,
-                    ..StoreTrouble::default()
+                    ..StoreFaults::default()
                 };
                 self.disturb_store(trouble, fault.for_ms).await?;
             }
             FaultKind::StoreSlow(delay_ms) => {
-                let trouble = StoreTrouble {
+                let trouble = StoreFaults {
                     delay_ms,
-                    ..StoreTrouble::default()
+                    ..StoreFaults::default()
                 };
                 self.disturb_store(trouble, fault.for_ms).await?;
             }
             FaultKind::StoreLoses(lost_every) => {
-                let trouble = StoreTrouble {
+                let trouble = StoreFaults {
                     lost_every,
-                    ..StoreTrouble::default()
+                    ..StoreFaults::default()
                 };
                 self.disturb_store(trouble, fault.for_ms).await?;
             }
@@ -348,13 +348,13 @@
         }
     }
 
-    async fn disturb_store(&self, trouble: StoreTrouble, for_ms: u64) -> anyhow::Result<()> {
+    async fn disturb_store(&self, trouble: StoreFaults, for_ms: u64) -> anyhow::Result<()> {
         let span = self.begin(Target::Store);
         let number = self.begin_at(Place::Store);
         self.fleet.store.obey(&StoreCommand::Trouble(trouble)).await?;
         sleep(Duration::from_millis(for_ms)).await;
         if self.is_newest(Place::Store, number) {
-            let well = StoreCommand::Trouble(StoreTrouble::default());
+            let well = StoreCommand::Trouble(StoreFaults::default());
             self.fleet.store.obey(&well).await?;
         }
         self.end(span);
--- a/crates/reedsail_soak/src/store_program.rs
+++ b/crates/reedsail_soak/src/store_program.rs
@@ -13,13 +13,13 @@
 /// The system's, or a line that is no command.
 pub async fn run_store() -> anyhow::Result<()> {
     let store = StoreStandin::start().await.context("cannot start the store")?;
-    store.hold_calls();
+    store.enable_long_polling();
     println!("{}", store.address);
     let mut lines = BufReader::new(stdin()).lines();
     while let Some(line) = lines.next_line().await? {
         let command: StoreCommand =
             serde_json::from_str(&line).with_context(|| format!("`{line}` is no command"))?;
-        store.obey(&command);
+        store.apply(&command);
     }
     Ok(())
 }
--- a/crates/reedsail_standin/src/routed_server.rs
+++ b/crates/reedsail_standin/src/routed_server.rs
@@ -134,7 +134,7 @@
     }
 
     /// Sets the headers that each answer carries from now on, in place of those before.
-    pub fn say(&self, headers: &[(&'static str, &'static str)]) {
+    pub fn set_headers(&self, headers: &[(&'static str, &'static str)]) {
         let said = headers
             .iter()
             .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
