--- a/crates/reedsail_simulation/examples/share_trace.rs
+++ b/crates/reedsail_simulation/examples/share_trace.rs
@@ -1,8 +1,8 @@
-//! Plays simulated floods and prints how near workspaces come to far less than their share.
+//! Simulates floods and prints the windows in which a workspace gets too little of its share.
 //!
-//! `share_trace sweep FROM UNTIL LOAD…` plays seeds, with the loads by turns, and prints the worst window of each
-//! that comes near the bound; `share_trace seed SEED LOAD` prints what the worst window's workspace requested, was
-//! sent and was refused for, step by step, and each of its decisions.
+//! `share_trace sweep FROM UNTIL LOAD…` simulates the seeds, cycling through the loads, and prints the worst window of
+//! each seed whose ratio is close to the bound. `share_trace seed SEED LOAD` prints, for the workspace of the worst
+//! window, the requested, sent and refused tokens of each time step, and each decision.
 
 use std::thread::ScopedJoinHandle;
 
@@ -12,20 +12,20 @@
 use reedsail_simulation::Scenario;
 use reedsail_simulation::simulate;
 
-/// Seeds that are played at the same time.
-const SIDE_BY_SIDE: u64 = 7;
-/// Ratios below this are printed.
-const NEAR_RATIO: f64 = 1.1;
-/// Length of a step of the trace, in milliseconds.
+/// Number of seeds that are simulated concurrently.
+const CONCURRENT_SEEDS: u64 = 7;
+/// Windows with a ratio below this are printed.
+const PRINT_RATIO_MAX: f64 = 1.1;
+/// Length of a time step of the trace, in milliseconds.
 const STEP_MS: u64 = 250;
 
-/// What is printed of one seed.
-struct Played {
+/// The printed result of one seed.
+struct SeedResult {
     seed: u64,
     load: f64,
-    /// Worst ratio with runs counted where they begin.
+    /// Worst ratio if a run counts when it begins.
     ratio: f64,
-    /// Worst ratio with runs counted where they were accepted.
+    /// Worst ratio if a run counts when its request is accepted.
     accepted_ratio: f64,
     window: String,
     in_target: u64,
@@ -47,44 +47,44 @@
 }
 
 fn sweep(from: u64, until: u64, loads: &[f64]) {
-    let mut played: Vec<Played> = std::thread::scope(|scope| {
-        let players: Vec<_> = (0..SIDE_BY_SIDE)
-            .map(|player| {
-                let seeds = (from..until).filter(move |seed| seed % SIDE_BY_SIDE == player);
-                scope.spawn(move || seeds.map(|seed| play(seed, loads)).collect::<Vec<_>>())
+    let mut results: Vec<SeedResult> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..CONCURRENT_SEEDS)
+            .map(|thread| {
+                let seeds = (from..until).filter(move |seed| seed % CONCURRENT_SEEDS == thread);
+                scope.spawn(move || seeds.map(|seed| simulate_seed(seed, loads)).collect::<Vec<_>>())
             })
             .collect();
-        let joined = players.into_iter().map(ScopedJoinHandle::join);
+        let joined = threads.into_iter().map(ScopedJoinHandle::join);
         joined
-            .flat_map(|played| played.expect("a player panicked"))
+            .flat_map(|results| results.expect("a simulation thread panicked"))
             .collect()
     });
-    played.sort_by(|left, right| left.ratio.total_cmp(&right.ratio));
-    for seed in played.iter().filter(|seed| seed.ratio < NEAR_RATIO) {
+    results.sort_by(|left, right| left.ratio.total_cmp(&right.ratio));
+    for result in results.iter().filter(|result| result.ratio < PRINT_RATIO_MAX) {
         println!(
             "seed {} load {}: {:.2}, as accepted {:.2}, {}",
-            seed.seed, seed.load, seed.ratio, seed.accepted_ratio, seed.window
+            result.seed, result.load, result.ratio, result.accepted_ratio, result.window
         );
     }
-    let below = played.iter().filter(|seed| seed.ratio < 1.0).count();
-    let accepted_below = played.iter().filter(|seed| seed.accepted_ratio < 1.0).count();
-    let in_target: u64 = played.iter().map(|seed| seed.in_target).sum();
-    let late: u64 = played.iter().map(|seed| seed.late).sum();
-    let seeds = played.len();
+    let below = results.iter().filter(|result| result.ratio < 1.0).count();
+    let accepted_below = results.iter().filter(|result| result.accepted_ratio < 1.0).count();
+    let in_target: u64 = results.iter().map(|result| result.in_target).sum();
+    let late: u64 = results.iter().map(|result| result.late).sum();
+    let seeds = results.len();
     println!(
         "{seeds} seeds, {below} below 1, {accepted_below} as accepted; {in_target} in target, {late} late"
     );
 }
 
-fn play(seed: u64, loads: &[f64]) -> Played {
+fn simulate_seed(seed: u64, loads: &[f64]) -> SeedResult {
     let load = loads[seed as usize % loads.len()];
     let outcome = simulate(&Scenario::of_unequal_workspaces(seed, load));
     let window = outcome.worst_window();
-    Played {
+    SeedResult {
         seed,
         load,
         ratio: worst_ratio(&outcome.ledger),
-        accepted_ratio: worst_ratio(&outcome.accepted),
+        accepted_ratio: worst_ratio(&outcome.accepted_ledger),
         window: window.map_or_else(String::new, |window| format!("{window:?}")),
         in_target: outcome.in_target(),
         late: outcome.workspaces.iter().map(|workspace| workspace.late).sum(),
@@ -100,19 +100,19 @@
     let scenario = Scenario::of_unequal_workspaces(seed, load);
     let outcome = simulate(&scenario);
     let Some(window) = outcome.worst_window() else {
-        println!("everyone was content in some second of each window");
+        println!("no workspace has a window with a refused or late request in each second");
         return;
     };
     println!("ratio {:.2}, {window:?}", window.ratio());
-    let names = scenario.workspaces.iter();
-    let place = names.take_while(|plan| plan.name != window.workspace).count();
-    println!("{:?}", scenario.workspaces[place]);
-    for flood in scenario.floods.iter().filter(|flood| flood.workspace == place) {
+    let plans = scenario.workspaces.iter();
+    let workspace_index = plans.take_while(|plan| plan.name != window.workspace).count();
+    println!("{:?}", scenario.workspaces[workspace_index]);
+    for flood in scenario.floods.iter().filter(|flood| flood.workspace == workspace_index) {
         println!("{flood:?}");
     }
-    for step_ms in (0..scenario.length_ms).step_by(STEP_MS as usize) {
+    for step_ms in (0..scenario.duration_ms).step_by(STEP_MS as usize) {
         let in_step = |row: &&DecisionRow| row.at_ms / STEP_MS == step_ms / STEP_MS;
-        let of_workspace = outcome.decisions.iter().filter(|row| row.workspace == place);
+        let of_workspace = outcome.decisions.iter().filter(|row| row.workspace == workspace_index);
         print_step(step_ms, &of_workspace.filter(in_step).collect::<Vec<_>>());
     }
 }
--- a/crates/reedsail_simulation/src/callers.rs
+++ b/crates/reedsail_simulation/src/callers.rs
@@ -1,11 +1,11 @@
-//! When callers ask: each workspace's requests come at random moments, more of them during its floods.
+//! Arrivals of callers' requests: each workspace's requests arrive at random times, at a higher rate during its floods.
 
 use rand::Rng;
 use rand::rngs::StdRng;
 
 use crate::Scenario;
 
-/// Returns how many requests a second a workspace asks for at a moment.
+/// Returns the arrival rate of a workspace at a time.
 fn requests_per_s(scenario: &Scenario, workspace: usize, now_ms: u64) -> f64 {
     let floods = scenario
         .floods
@@ -15,8 +15,8 @@
     scenario.workspaces[workspace].requests_per_s * factor
 }
 
-/// Draws the moment of a workspace's next request, in microseconds. A flood that begins meanwhile shows from
-/// the request after it on.
+/// Draws the time of a workspace's next request, in microseconds. If a flood begins before that request, it
+/// affects the interval only after that request.
 pub(crate) fn next_request_us(
     scenario: &Scenario,
     workspace: usize,
@@ -28,8 +28,8 @@
     now_us + (-uniform.ln() / per_s * 1e6) as u64 + 1
 }
 
-/// Draws the instance that a request of a workspace enters at.
-pub(crate) fn entry(scenario: &Scenario, workspace: usize, random: &mut StdRng) -> usize {
-    let entries = &scenario.workspaces[workspace].entries;
-    entries[random.random_range(0..entries.len())]
+/// Draws the instance at which a request of a workspace arrives.
+pub(crate) fn draw_entry_instance(scenario: &Scenario, workspace: usize, random: &mut StdRng) -> usize {
+    let entry_instances = &scenario.workspaces[workspace].entry_instances;
+    entry_instances[random.random_range(0..entry_instances.len())]
 }
--- a/crates/reedsail_simulation/src/crash_fleet.rs
+++ b/crates/reedsail_simulation/src/crash_fleet.rs
@@ -1,4 +1,5 @@
-//! Plays a fleet whose servers crash: what instances learn of it, and which requests they refuse for it.
+//! Simulates a fleet whose servers crash: what instances learn about the crashes from each other, and which
+//! requests they quarantine.
 
 use std::collections::HashMap;
 
@@ -24,46 +25,48 @@
 use crate::CrashOutcome;
 use crate::CrashScenario;
 use crate::PoisonOutcome;
-use crate::crash_scenario::CONTACT_MS;
-use crate::crash_scenario::NEWS_MS;
+use crate::crash_scenario::PROPAGATION_MAX_MS;
+use crate::crash_scenario::QUARANTINE_DEADLINE_MS;
 use crate::event_queue::EventQueue;
 
-/// Interval at which instances look at what has changed, in milliseconds.
+/// Interval at which instances check servers and update their state, in milliseconds.
 const TICK_MS: u64 = 50;
-/// How long a caller waits before it comes back after its request broke, in milliseconds.
-const COME_BACK_MS: u64 = 100;
-/// Silence after which a peer that reports again is welcomed, in milliseconds: that of the exchange of load.
+/// How long a caller waits before it retries a broken request, in milliseconds.
+const RETRY_DELAY_MS: u64 = 100;
+/// Silence after which a peer counts as new when it reports again, in milliseconds. The load exchange uses the
+/// same value.
 const PEER_SILENT_MS: u64 = 1_000;
-/// Requests that a server runs at once.
+/// Maximum number of requests that a server runs at the same time.
 const SLOTS: u32 = 64;
 
-/// A request on its way.
+/// A request of a caller.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     fingerprint: Fingerprint,
-    /// The place of the poison that it is; `None` for one that crashes nothing.
+    /// Index of the poison request in the scenario; `None` for a request that crashes no server.
     poison: Option<usize>,
-    has_come_back: bool,
+    /// The caller does not retry the request again.
+    has_retried: bool,
 }
 
-/// What happens next.
+/// A scheduled event.
 #[derive(Debug)]
 enum Event {
     Arrival,
     PoisonArrival {
         poison: usize,
     },
-    ComesBack(Request),
+    Retry(Request),
     RunEnds {
         run: u64,
     },
     MassCrash {
         fraction: f64,
     },
-    ServerBack {
+    ServerRestarts {
         server: usize,
     },
-    RecordLapses {
+    RecordExpires {
         name: NameHash,
     },
     InstanceRestarts {
@@ -78,7 +81,7 @@
     Tick,
 }
 
-/// When the last report of a peer came, and which start of it that was.
+/// When a peer's last report arrived, and when the peer had started.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     started_ms: u64,
@@ -91,7 +94,7 @@
     last_reports: HashMap<usize, LastReport>,
 }
 
-/// A place for a server; each start has a name of its own.
+/// A server position of the fleet. Each start at a position has its own server name.
 struct Server {
     starts: u64,
     is_up: bool,
@@ -110,19 +113,20 @@
     events: EventQueue<Event>,
     instances: Vec<Instance>,
     servers: Vec<Server>,
-    /// Records in the store, crashed servers among them until they lapse, with the place of each.
+    /// Server records in the store, each with the server's index. The record of a crashed server stays until it
+    /// expires.
     records: Vec<(ServerSetup, usize)>,
     runs: HashMap<u64, Run>,
-    drawn: u64,
+    last_id: u64,
     outcome: CrashOutcome,
 }
 
-/// Plays a scenario to its end.
+/// Simulates a scenario to its end.
 pub fn simulate_crashes(scenario: &CrashScenario) -> CrashOutcome {
     let mut fleet = CrashFleet::new(scenario);
-    fleet.begin();
+    fleet.schedule_first_events();
     while let Some((now_ms, event)) = fleet.events.next() {
-        if now_ms >= scenario.length_ms {
+        if now_ms >= scenario.duration_ms {
             break;
         }
         fleet.handle(event, now_ms);
@@ -134,8 +138,8 @@
     NameHash::of("service")
 }
 
-fn moment(now_ms: u64) -> TimeMs {
-    // Begins at a second, so that no moment is zero, which stands for never.
+fn to_time(now_ms: u64) -> TimeMs {
+    // Starts at 1 s, because a time of zero means never.
     TimeMs(1_000 + now_ms)
 }
 
@@ -171,7 +175,7 @@
                 .map(|server| (setup(server, 1), server))
                 .collect(),
             runs: HashMap::new(),
-            drawn: 0,
+            last_id: 0,
             outcome: CrashOutcome {
                 poisons: vec![PoisonOutcome::default(); scenario.poisons.len()],
                 ..CrashOutcome::default()
@@ -202,7 +206,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_first_events(&mut self) {
         self.events.add(0, Event::Arrival);
         self.events.add(0, Event::Report);
         self.events.add(0, Event::Tick);
@@ -223,11 +227,11 @@
         match event {
             Event::Arrival => self.draw_request(now_ms),
             Event::PoisonArrival { poison } => self.draw_poison(poison, now_ms),
-            Event::ComesBack(request) => self.arrive(request, now_ms),
+            Event::Retry(request) => self.arrive(request, now_ms),
             Event::RunEnds { run } => self.end_run(run, now_ms),
-            Event::MassCrash { fraction } => self.crash_many(fraction, now_ms),
-            Event::ServerBack { server } => self.start_server(server),
-            Event::RecordLapses { name } => {
+            Event::MassCrash { fraction } => self.crash_fraction(fraction, now_ms),
+            Event::ServerRestarts { server } => self.start_server(server),
+            Event::RecordExpires { name } => {
                 self.records.retain(|(setup, _)| setup.name != name);
                 self.publish();
             }
@@ -240,73 +244,74 @@
             Event::Tick => {
                 self.check_servers(now_ms);
                 for instance in &mut self.instances {
-                    instance.dispatcher.tick(moment(now_ms));
+                    instance.dispatcher.tick(to_time(now_ms));
                 }
                 self.events.add(now_ms + TICK_MS, Event::Tick);
             }
         }
     }
 
-    /// Brings a report to an instance, which welcomes a sender that has started or was silent.
+    /// Delivers a report to an instance. The instance announces its suspected requests if the sender is new, has
+    /// restarted or was silent.
     fn receive_report(&mut self, from: usize, to: usize, report: LoadReport, now_ms: u64) {
         let last = LastReport {
             started_ms: self.instances[from].started_ms,
             at_ms: now_ms,
         };
         let receiver = &mut self.instances[to];
-        let before = receiver.last_reports.insert(from, last);
-        let is_known = before.is_some_and(|before| {
-            before.started_ms == last.started_ms && now_ms < before.at_ms + PEER_SILENT_MS
+        let previous = receiver.last_reports.insert(from, last);
+        let is_known = previous.is_some_and(|previous| {
+            previous.started_ms == last.started_ms && now_ms < previous.at_ms + PEER_SILENT_MS
         });
         let dispatcher = &mut receiver.dispatcher;
         if !is_known {
-            dispatcher.announce_suspects(moment(now_ms));
+            dispatcher.announce_suspects(to_time(now_ms));
         }
-        dispatcher.receive_report(instance_name(from), report, moment(now_ms));
+        dispatcher.receive_report(instance_name(from), report, to_time(now_ms));
     }
 
-    /// Lets each instance connect to the servers at which its connections broke.
+    /// Lets each instance check the servers at which its connections broke.
     fn check_servers(&mut self, now_ms: u64) {
         for instance in 0..self.instances.len() {
             for key in self.instances[instance].dispatcher.take_servers_to_check() {
-                let listens = self.listening(instance, key).is_some();
+                let listens = self.listening_server(instance, key).is_some();
                 let dispatcher = &mut self.instances[instance].dispatcher;
-                dispatcher.record_check(key, listens, moment(now_ms));
+                dispatcher.record_check(key, listens, to_time(now_ms));
             }
         }
     }
 
     fn draw_request(&mut self, now_ms: u64) {
-        self.drawn += 1;
+        self.last_id += 1;
         let uniform: f64 = self.random.random_range(f64::MIN_POSITIVE..1.0);
         let wait_ms = -uniform.ln() / self.scenario.requests_per_s * 1_000.0;
         self.events.add(now_ms + wait_ms as u64, Event::Arrival);
         let request = Request {
-            fingerprint: Fingerprint(u128::from(self.drawn) << 64),
+            fingerprint: Fingerprint(u128::from(self.last_id) << 64),
             poison: None,
-            has_come_back: false,
+            has_retried: false,
         };
         self.arrive(request, now_ms);
     }
 
     fn draw_poison(&mut self, poison: usize, now_ms: u64) {
         let plan = self.scenario.poisons[poison];
-        let next_ms = now_ms + self.random.random_range(1..=plan.every_ms * 2);
+        let next_ms = now_ms + self.random.random_range(1..=plan.mean_interval_ms * 2);
         if next_ms < plan.until_ms {
             self.events.add(next_ms, Event::PoisonArrival { poison });
         }
         let request = Request {
             fingerprint: Fingerprint(poison as u128 + 1),
             poison: Some(poison),
-            has_come_back: true,
+            has_retried: true,
         };
         self.arrive(request, now_ms);
     }
 
-    /// Brings a request before an instance, which attempts it until a server takes it.
+    /// Passes a request to a random instance, which tries servers until one accepts the request.
     fn arrive(&mut self, request: Request, now_ms: u64) {
         let instance = self.random.random_range(0..self.instances.len());
-        let now = moment(now_ms);
+        let now = to_time(now_ms);
         let mut tried: Vec<ServerKey> = Vec::new();
         while tried.len() < ATTEMPTS_MAX {
             let demand = Demand {
@@ -330,7 +335,7 @@
             };
             let mut attempt = dispatcher.begin_attempt(&demand, &placement, now);
             tried.push(placement.server);
-            let Some(server) = self.listening(instance, placement.server) else {
+            let Some(server) = self.listening_server(instance, placement.server) else {
                 let dispatcher = &mut self.instances[instance].dispatcher;
                 dispatcher.finish_attempt(attempt, AttemptOutcome::Down, now);
                 continue;
@@ -341,24 +346,24 @@
         self.outcome.refused += 1;
     }
 
-    /// Returns the place of a server that is up and has not been started anew since.
-    fn listening(&self, instance: usize, key: ServerKey) -> Option<usize> {
+    /// Returns the index of a server if it is up and has not restarted under another name.
+    fn listening_server(&self, instance: usize, key: ServerKey) -> Option<usize> {
         let dispatcher = &self.instances[instance].dispatcher;
         let (setup, server) = self
             .records
             .iter()
             .find(|(setup, _)| dispatcher.server_key(setup.name) == Some(key))?;
         let state = &self.servers[*server];
-        let is_same = setup.name == self::setup(*server, state.starts).name;
-        (state.is_up && is_same).then_some(*server)
+        let is_current_start = setup.name == self::setup(*server, state.starts).name;
+        (state.is_up && is_current_start).then_some(*server)
     }
 
     fn run(&mut self, request: Request, instance: usize, server: usize, attempt: Attempt, now_ms: u64) {
-        self.drawn += 1;
+        self.last_id += 1;
         let run_ms = match request.poison {
             Some(poison) => {
                 self.count_send(poison, instance, now_ms);
-                self.scenario.crash_ms
+                self.scenario.time_to_crash_ms
             }
             None => self.scenario.run_ms,
         };
@@ -368,27 +373,28 @@
             server,
             attempt,
         };
-        self.runs.insert(self.drawn, run);
+        self.runs.insert(self.last_id, run);
         self.events
-            .add(now_ms + run_ms, Event::RunEnds { run: self.drawn });
+            .add(now_ms + run_ms, Event::RunEnds { run: self.last_id });
     }
 
-    /// Counts a send of a poison if the instance must have known better.
+    /// Counts a send of a poison request if the instance must have known by then that it ends servers.
     fn count_send(&mut self, poison: usize, instance: usize, now_ms: u64) {
         let outcome = &self.outcome.poisons[poison];
-        let is_late = self.must_know(outcome.third_end_ms, instance, CONTACT_MS, now_ms);
-        let is_after_news = self.must_know(outcome.third_knowable_ms(), instance, NEWS_MS, now_ms);
+        let is_late = self.must_know(outcome.third_end_ms, instance, QUARANTINE_DEADLINE_MS, now_ms);
+        let is_after_propagation = self.must_know(outcome.third_knowable_ms(), instance, PROPAGATION_MAX_MS, now_ms);
         let outcome = &mut self.outcome.poisons[poison];
         outcome.late_sends += u64::from(is_late);
-        outcome.sends_after_news += u64::from(is_after_news);
+        outcome.sends_after_propagation += u64::from(is_after_propagation);
     }
 
-    /// Tells whether an instance that was in touch for so long must know what could be known from a moment on.
-    fn must_know(&self, known_ms: Option<u64>, instance: usize, within_ms: u64, now_ms: u64) -> bool {
-        let is_past = |at_ms: u64| now_ms > at_ms + within_ms;
+    /// Returns whether an instance must know something that the fleet can know from `knowable_ms` on. This is the
+    /// case once `within_ms` have passed, unless the instance started or was partitioned in that time.
+    fn must_know(&self, knowable_ms: Option<u64>, instance: usize, within_ms: u64, now_ms: u64) -> bool {
+        let is_overdue = |at_ms: u64| now_ms > at_ms + within_ms;
         let started_ms = self.instances[instance].started_ms;
-        let is_old = started_ms == 0 || is_past(started_ms);
-        known_ms.is_some_and(is_past) && is_old && !self.scenario.was_cut(instance, within_ms, now_ms)
+        let is_past_startup = started_ms == 0 || is_overdue(started_ms);
+        knowable_ms.is_some_and(is_overdue) && is_past_startup && !self.scenario.was_partitioned(instance, within_ms, now_ms)
     }
 
     fn count_quarantined(&mut self, request: Request) {
@@ -399,7 +405,7 @@
         self.outcome.refused += u64::from(request.poison.is_none());
     }
 
-    /// Ends a run: it is answered, or its server ends under it.
+    /// Ends a run: a poison request crashes its server, and any other request is answered.
     fn end_run(&mut self, number: u64, now_ms: u64) {
         let Some(run) = self.runs.get(&number) else {
             return;
@@ -417,31 +423,31 @@
         }
         if let Some(mut run) = self.runs.remove(&number) {
             let dispatcher = &mut self.instances[run.instance].dispatcher;
-            dispatcher.record_first_event(&mut run.attempt, moment(now_ms));
-            dispatcher.finish_attempt(run.attempt, AttemptOutcome::Answered, moment(now_ms));
+            dispatcher.record_first_event(&mut run.attempt, to_time(now_ms));
+            dispatcher.finish_attempt(run.attempt, AttemptOutcome::Answered, to_time(now_ms));
             self.outcome.answered += 1;
         }
     }
 
-    fn crash_many(&mut self, fraction: f64, now_ms: u64) {
-        let mut places: Vec<usize> = (0..self.servers.len()).collect();
-        places.shuffle(&mut self.random);
-        let count = (fraction * places.len() as f64).round() as usize;
-        for server in places.into_iter().take(count) {
+    fn crash_fraction(&mut self, fraction: f64, now_ms: u64) {
+        let mut servers: Vec<usize> = (0..self.servers.len()).collect();
+        servers.shuffle(&mut self.random);
+        let count = (fraction * servers.len() as f64).round() as usize;
+        for server in servers.into_iter().take(count) {
             if self.servers[server].is_up {
                 self.crash(server, now_ms);
             }
         }
     }
 
-    /// Ends a server, and breaks all that runs there.
+    /// Crashes a server and breaks all its runs.
     fn crash(&mut self, server: usize, now_ms: u64) {
         self.servers[server].is_up = false;
         let name = setup(server, self.servers[server].starts).name;
-        let record_ms = now_ms + self.scenario.record_ms;
-        self.events.add(record_ms, Event::RecordLapses { name });
-        let back_ms = now_ms + self.scenario.away_ms;
-        self.events.add(back_ms, Event::ServerBack { server });
+        let expires_ms = now_ms + self.scenario.record_ttl_ms;
+        self.events.add(expires_ms, Event::RecordExpires { name });
+        let restarts_ms = now_ms + self.scenario.downtime_ms;
+        self.events.add(restarts_ms, Event::ServerRestarts { server });
         let mut numbers: Vec<u64> = self.runs.keys().copied().collect();
         numbers.retain(|number| self.runs[number].server == server);
         numbers.sort_unstable();
@@ -454,17 +460,17 @@
 
     fn break_run(&mut self, run: Run, now_ms: u64) {
         let dispatcher = &mut self.instances[run.instance].dispatcher;
-        dispatcher.finish_attempt(run.attempt, AttemptOutcome::Broken, moment(now_ms));
+        dispatcher.finish_attempt(run.attempt, AttemptOutcome::Broken, to_time(now_ms));
         if run.request.poison.is_some() {
             return;
         }
         self.outcome.broken += 1;
-        if !run.request.has_come_back {
+        if !run.request.has_retried {
             let request = Request {
-                has_come_back: true,
+                has_retried: true,
                 ..run.request
             };
-            self.events.add(now_ms + COME_BACK_MS, Event::ComesBack(request));
+            self.events.add(now_ms + RETRY_DELAY_MS, Event::Retry(request));
         }
     }
 
@@ -479,17 +485,17 @@
 
     fn send_reports(&mut self, now_ms: u64) {
         self.events
-            .add(now_ms + self.scenario.report_every_ms, Event::Report);
-        let is_cut = |instance: usize| {
-            let cuts = &self.scenario.cuts;
-            cuts.iter()
-                .any(|cut| cut.instance == instance && (cut.from_ms..cut.until_ms).contains(&now_ms))
+            .add(now_ms + self.scenario.report_interval_ms, Event::Report);
+        let is_partitioned = |instance: usize| {
+            let partitions = &self.scenario.partitions;
+            partitions.iter()
+                .any(|partition| partition.instance == instance && (partition.from_ms..partition.until_ms).contains(&now_ms))
         };
         for from in 0..self.instances.len() {
-            let report = self.instances[from].dispatcher.report(moment(now_ms));
+            let report = self.instances[from].dispatcher.report(to_time(now_ms));
             for to in 0..self.instances.len() {
                 let is_lost = self.random.random_bool(self.scenario.report_loss);
-                if to == from || is_cut(from) || is_cut(to) || is_lost {
+                if to == from || is_partitioned(from) || is_partitioned(to) || is_lost {
                     continue;
                 }
                 let at_ms = now_ms + self.scenario.report_delay_ms;
--- a/crates/reedsail_simulation/src/crash_scenario.rs
+++ b/crates/reedsail_simulation/src/crash_scenario.rs
@@ -1,34 +1,34 @@
-//! What a fleet has whose servers crash, and what came of it.
+//! The scenario of a fleet whose servers crash, and its outcome.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use reedsail_dispatch::SERVERS_TO_QUARANTINE;
 
-/// A request that ends each server that begins it, and comes back for a while.
+/// A poison request: it ends each server that begins it, and its caller sends it repeatedly.
 #[derive(Clone, Copy, Debug)]
 pub struct PoisonPlan {
-    /// When it first comes, in milliseconds from the start.
+    /// First arrival, in milliseconds from the start.
     pub from_ms: u64,
-    /// When it comes last, in milliseconds from the start.
+    /// Time after which it no longer arrives, in milliseconds from the start.
     pub until_ms: u64,
     /// Mean time between two arrivals, in milliseconds.
-    pub every_ms: u64,
+    pub mean_interval_ms: u64,
 }
 
-/// Servers that crash at one moment, without any request's doing.
+/// A simultaneous crash of several servers that no request causes.
 #[derive(Clone, Copy, Debug)]
 pub struct MassCrash {
-    /// When, in milliseconds from the start.
+    /// Time of the crash, in milliseconds from the start.
     pub at_ms: u64,
     /// The fraction of the servers that crash.
     pub fraction: f64,
 }
 
-/// A time in which an instance hears no other one, and no other one hears it.
+/// A time in which an instance and all other instances receive no reports from each other.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut {
-    /// The instance's place.
+pub struct NetworkPartition {
+    /// Index of the instance.
     pub instance: usize,
     /// When it begins, in milliseconds from the start.
     pub from_ms: u64,
@@ -39,74 +39,74 @@
 /// A fleet whose servers crash.
 #[derive(Clone, Debug)]
 pub struct CrashScenario {
-    /// The seed of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Instances, each of which hears all others directly.
+    /// Number of instances. Each receives the reports of all others directly.
     pub instances: usize,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Requests a second that crash nothing.
+    /// Requests per second that crash no server.
     pub requests_per_s: f64,
     /// How long a server runs such a request, in milliseconds.
     pub run_ms: u64,
-    /// How long a request that crashes its server runs, in milliseconds.
-    pub crash_ms: u64,
-    /// How long a server is away that crashed, in milliseconds.
-    pub away_ms: u64,
-    /// How long the record of a crashed server stays, in milliseconds.
-    pub record_ms: u64,
+    /// How long a poison request runs before its server crashes, in milliseconds.
+    pub time_to_crash_ms: u64,
+    /// Time from a server's crash to its restart, in milliseconds.
+    pub downtime_ms: u64,
+    /// How long the record of a crashed server stays in the store, in milliseconds.
+    pub record_ttl_ms: u64,
     /// Interval of load reports, in milliseconds.
-    pub report_every_ms: u64,
-    /// How long a report is on its way, in milliseconds.
+    pub report_interval_ms: u64,
+    /// Transmission time of a report, in milliseconds.
     pub report_delay_ms: u64,
     /// Probability that a report is lost.
     pub report_loss: f64,
-    /// Requests that end servers.
+    /// Poison requests.
     pub poisons: Vec<PoisonPlan>,
-    /// Crashes without a request's doing.
+    /// Crashes that no request causes.
     pub mass_crashes: Vec<MassCrash>,
-    /// Cuts between instances.
-    pub cuts: Vec<Cut>,
-    /// Instances that start anew, each with the moment in milliseconds from the start.
+    /// Network partitions.
+    pub partitions: Vec<NetworkPartition>,
+    /// Indexes of instances that restart, each with the time in milliseconds from the start.
     pub restarts: Vec<(usize, u64)>,
-    /// Length in milliseconds.
-    pub length_ms: u64,
+    /// Simulated time, in milliseconds.
+    pub duration_ms: u64,
 }
 
 impl CrashScenario {
-    /// Makes a fleet of nine instances before nine servers without any crash.
-    pub fn calm(seed: u64) -> Self {
+    /// Creates a fleet of nine instances and nine servers without any crash.
+    pub fn without_crashes(seed: u64) -> Self {
         Self {
             seed,
             instances: 9,
             servers: 9,
             requests_per_s: 110.0,
             run_ms: 1_200,
-            crash_ms: 100,
-            away_ms: 4_000,
-            record_ms: 3_000,
-            report_every_ms: 100,
+            time_to_crash_ms: 100,
+            downtime_ms: 4_000,
+            record_ttl_ms: 3_000,
+            report_interval_ms: 100,
             report_delay_ms: 5,
             report_loss: 0.02,
             poisons: Vec::new(),
             mass_crashes: Vec::new(),
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             restarts: Vec::new(),
-            length_ms: 60_000,
+            duration_ms: 60_000,
         }
     }
 
-    /// Adds one to three requests that end servers, and with them, drawn from the seed, a mass crash, a cut or
-    /// restarts of instances.
+    /// Creates a fleet with one to three poison requests. Depending on the seed it also has a mass crash, a network
+    /// partition or a rolling restart of all instances.
     pub fn with_poisons(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut scenario = Self::calm(seed);
+        let mut scenario = Self::without_crashes(seed);
         for _ in 0..random.random_range(1..=3) {
             let from_ms = random.random_range(2_000..20_000);
             scenario.poisons.push(PoisonPlan {
                 from_ms,
                 until_ms: from_ms + random.random_range(15_000..35_000),
-                every_ms: random.random_range(100..3_000),
+                mean_interval_ms: random.random_range(100..3_000),
             });
         }
         if random.random_bool(0.5) {
@@ -114,7 +114,7 @@
         }
         if random.random_bool(0.5) {
             let from_ms = random.random_range(1_000..30_000);
-            scenario.cuts.push(Cut {
+            scenario.partitions.push(NetworkPartition {
                 instance: random.random_range(0..scenario.instances),
                 from_ms,
                 until_ms: from_ms + random.random_range(2_000..12_000),
@@ -129,29 +129,29 @@
         scenario
     }
 
-    /// Adds mass crashes only: nobody is to blame.
+    /// Creates a fleet with mass crashes only, so that no request is the cause of a crash.
     pub fn with_mass_crashes(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut scenario = Self::calm(seed);
+        let mut scenario = Self::without_crashes(seed);
         let crashes = random.random_range(2..=8);
         scenario.draw_mass_crashes(&mut random, crashes);
         scenario
     }
 
-    /// Tells whether an instance was cut off within so many milliseconds before a moment.
-    pub(crate) fn was_cut(&self, instance: usize, within_ms: u64, now_ms: u64) -> bool {
-        let mut cuts = self.cuts.iter().filter(|cut| cut.instance == instance);
-        cuts.any(|cut| cut.from_ms <= now_ms && now_ms <= cut.until_ms + within_ms)
+    /// Returns whether an instance was partitioned at any time in the last `within_ms` before `now_ms`.
+    pub(crate) fn was_partitioned(&self, instance: usize, within_ms: u64, now_ms: u64) -> bool {
+        let mut partitions = self.partitions.iter().filter(|partition| partition.instance == instance);
+        partitions.any(|partition| partition.from_ms <= now_ms && now_ms <= partition.until_ms + within_ms)
     }
 
-    /// Returns from when an end may be known beyond the instance that saw it: at once, or once its cut is over, unless
-    /// the instance is killed before it could tell anyone.
-    pub(crate) fn knowable_from_ms(&self, witness: usize, now_ms: u64) -> Option<u64> {
-        let cuts = self.cuts.iter().filter(|cut| cut.instance == witness);
-        let lasting = cuts.filter(|cut| (cut.from_ms..cut.until_ms).contains(&now_ms));
-        let from_ms = lasting.map(|cut| cut.until_ms).max().unwrap_or(now_ms);
+    /// Returns the time from which other instances can learn of a server's end: immediately, or when the observer's
+    /// network partition ends. Returns `None` if the observer is killed before it can report the end.
+    pub(crate) fn knowable_from_ms(&self, observer: usize, now_ms: u64) -> Option<u64> {
+        let partitions = self.partitions.iter().filter(|partition| partition.instance == observer);
+        let current = partitions.filter(|partition| (partition.from_ms..partition.until_ms).contains(&now_ms));
+        let from_ms = current.map(|partition| partition.until_ms).max().unwrap_or(now_ms);
         let is_killed = |(instance, at_ms): &(usize, u64)| {
-            *instance == witness && (now_ms..from_ms + NEWS_MS).contains(at_ms)
+            *instance == observer && (now_ms..from_ms + PROPAGATION_MAX_MS).contains(at_ms)
         };
         (!self.restarts.iter().any(is_killed)).then_some(from_ms)
     }
@@ -166,26 +166,26 @@
     }
 }
 
-/// What came of a request that ends servers.
+/// The outcome of a poison request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoisonOutcome {
-    /// Servers that ended under it.
+    /// Number of servers that ended while running it.
     pub servers_ended: u64,
-    /// Times that it was sent to a server later than `CONTACT_MS` after it had ended the third, by instances that
-    /// neither started nor were cut off in the last `CONTACT_MS`.
+    /// Number of times that it was sent to a server more than `QUARANTINE_DEADLINE_MS` after it ended the third
+    /// server, by instances that neither started nor were partitioned in the last `QUARANTINE_DEADLINE_MS`.
     pub late_sends: u64,
-    /// When the third server ended under it, in milliseconds from the start.
+    /// When the third server ended while running it, in milliseconds from the start.
     pub third_end_ms: Option<u64>,
-    /// Times that it was sent later than `NEWS_MS` after the third end that the fleet could know of, by instances
-    /// that neither started nor were cut off in the last `NEWS_MS`.
-    pub sends_after_news: u64,
-    /// From when each end could be known beyond the instance that saw it, in milliseconds from the start. An end
-    /// that only an instance saw which was killed before it could tell anyone has none.
+    /// Number of times that it was sent more than `PROPAGATION_MAX_MS` after the third end that the fleet could
+    /// know of, by instances that neither started nor were partitioned in the last `PROPAGATION_MAX_MS`.
+    pub sends_after_propagation: u64,
+    /// For each end, the time from which instances other than the observer can know of it, in milliseconds from the
+    /// start. An end is missing if its observer was killed before it could report the end.
     pub knowable_ends_ms: Vec<u64>,
 }
 
 impl PoisonOutcome {
-    /// Returns from when three ends could be known to the fleet, in milliseconds from the start.
+    /// Returns the time from which the fleet can know of three ends, in milliseconds from the start.
     pub fn third_knowable_ms(&self) -> Option<u64> {
         let mut ends_ms = self.knowable_ends_ms.clone();
         ends_ms.sort_unstable();
@@ -193,24 +193,25 @@
     }
 }
 
-/// How long news of a request takes at most to reach every instance that is in touch, in milliseconds: as long as it
-/// is told at its first time.
-pub const NEWS_MS: u64 = 500;
+/// Maximum time until a change of a suspected request reaches every connected instance, in milliseconds: the duration
+/// of its first announcement.
+pub const PROPAGATION_MAX_MS: u64 = 500;
 
-/// How long after the third end, a start or a cut an instance must know of it, in milliseconds: the users' bound.
-pub const CONTACT_MS: u64 = 3_000;
+/// Maximum time after the third end, after its own start or after a partition in which an instance learns that a request
+/// is quarantined, in milliseconds. The users require this bound.
+pub const QUARANTINE_DEADLINE_MS: u64 = 3_000;
 
-/// What came of a scenario.
+/// The outcome of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct CrashOutcome {
-    /// By poison, in the order of the scenario.
+    /// Outcomes of the poison requests, in the order of the scenario.
     pub poisons: Vec<PoisonOutcome>,
-    /// Requests that crash nothing and were answered.
+    /// Number of answered requests. Poison requests do not count, here and below.
     pub answered: u64,
-    /// Those that broke with their server.
+    /// Number of runs that broke because their server crashed.
     pub broken: u64,
-    /// Those that were refused as if they ended servers.
+    /// Number of requests refused as quarantined.
     pub wrongly_quarantined: u64,
-    /// Those that were refused for another reason.
+    /// Number of requests refused for another reason.
     pub refused: u64,
 }
--- a/crates/reedsail_simulation/src/engine.rs
+++ b/crates/reedsail_simulation/src/engine.rs
@@ -1,4 +1,4 @@
-//! A simulated engine: requests wait for a slot, are prefilled one after the other, and generate side by side.
+//! A simulated engine: requests wait for a slot, are prefilled one after the other, and generate concurrently.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,17 +7,17 @@
 
 use crate::EngineSpeed;
 
-/// A request on its way to an engine's slot.
+/// A request that an engine runs or queues.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// The number by which the fleet knows it.
+    /// The fleet's number of the request.
     pub(crate) number: u64,
     pub(crate) prompt: Prompt,
-    /// Its shared segments are transferred from another engine.
+    /// Whether its shared segments are transferred from another engine.
     pub(crate) is_transferred: bool,
 }
 
-/// When a request that got a slot sends its first event, and when it ends, in microseconds.
+/// The times of the first event and of the end of a request that got a slot, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Started {
     pub(crate) number: u64,
@@ -25,14 +25,14 @@
     pub(crate) end_us: u64,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     speed: EngineSpeed,
     waiting: VecDeque<Job>,
     running: u32,
     prefill_free_us: u64,
-    /// Until when each segment is kept, in microseconds.
+    /// Time until which each segment is cached, in microseconds.
     cached_until_us: HashMap<u64, u64>,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes a request; it starts at once if there is a slot.
+    /// Accepts a request. It starts immediately if a slot is free, and waits otherwise.
     pub(crate) fn accept(&mut self, job: Job, now_us: u64) -> Option<Started> {
         if self.running < self.speed.slots {
             return Some(self.start(&job, now_us));
@@ -56,7 +56,7 @@
         None
     }
 
-    /// Frees the slot of a request that ended; the next one that waits starts.
+    /// Frees the slot of a request that ended, and starts the next waiting request.
     pub(crate) fn end(&mut self, now_us: u64) -> Option<Started> {
         self.running -= 1;
         let job = self.waiting.pop_front()?;
@@ -79,21 +79,21 @@
         }
     }
 
-    /// Returns the tokens of a prompt that are not cached, and keeps its segments. A segment is of use only
-    /// where all before it are cached as well.
+    /// Returns the number of a prompt's tokens that are not cached, and caches its shared segments. A cached segment
+    /// saves prefill only if all segments before it are cached as well.
     fn tokens_to_prefill(&mut self, job: &Job, now_us: u64) -> u32 {
-        let until_us = now_us + self.speed.cached_ms * 1_000;
+        let until_us = now_us + self.speed.cache_ttl_ms * 1_000;
         let mut is_cached = true;
         let mut tokens = 0;
-        let own = job.prompt.segments.len() - 1;
+        let own_index = job.prompt.segments.len() - 1;
         for (index, segment) in job.prompt.segments.iter().enumerate() {
-            let known = self.cached_until_us.get(&segment.id);
-            let has_it = known.is_some_and(|until_us| *until_us > now_us);
-            is_cached &= index < own && (has_it || job.is_transferred);
+            let segment_until_us = self.cached_until_us.get(&segment.id);
+            let is_unexpired = segment_until_us.is_some_and(|until_us| *until_us > now_us);
+            is_cached &= index < own_index && (is_unexpired || job.is_transferred);
             if !is_cached {
                 tokens += segment.tokens;
             }
-            if index < own {
+            if index < own_index {
                 self.cached_until_us.insert(segment.id, until_us);
             }
         }
--- a/crates/reedsail_simulation/src/event_queue.rs
+++ b/crates/reedsail_simulation/src/event_queue.rs
@@ -1,18 +1,18 @@
-//! Events in the order of their moments; those of one moment in the order in which they were added.
+//! A queue of events in the order of their times. Events with the same time keep the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A queue of events `E`, each at a moment in microseconds.
+/// A queue of events `E`, each with a time. All times of one queue have the same unit.
 #[derive(Debug)]
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
-    added: u64,
+    events_added: u64,
 }
 
 #[derive(Debug)]
 struct Entry<E> {
-    at_us: u64,
+    at: u64,
     number: u64,
     event: E,
 }
@@ -33,7 +33,7 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at_us, self.number).cmp(&(other.at_us, other.number))
+        (self.at, self.number).cmp(&(other.at, other.number))
     }
 }
 
@@ -41,22 +41,22 @@
     fn default() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            added: 0,
+            events_added: 0,
         }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
-    pub(crate) fn add(&mut self, at_us: u64, event: E) {
-        self.added += 1;
-        let number = self.added;
-        self.heap.push(Reverse(Entry { at_us, number, event }));
+    /// Adds an event at a time.
+    pub(crate) fn add(&mut self, at: u64, event: E) {
+        self.events_added += 1;
+        let number = self.events_added;
+        self.heap.push(Reverse(Entry { at, number, event }));
     }
 
-    /// Takes the next event and its moment.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn next(&mut self) -> Option<(u64, E)> {
         let Reverse(entry) = self.heap.pop()?;
-        Some((entry.at_us, entry.event))
+        Some((entry.at, entry.event))
     }
 }
--- a/crates/reedsail_simulation/src/exchange.rs
+++ b/crates/reedsail_simulation/src/exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of load between simulated instances: every report is summed up, and the sums reach everyone
-//! after a delay, each without the receiver's own part.
+//! The load exchange between simulated instances: the reports are summed, and each instance receives the sum after a
+//! delay, without its own part.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 use reedsail_gossip::LoadSum;
 use reedsail_gossip::SentReports;
 
-/// What was told at one moment.
+/// The sum of the reports that were sent at one time.
 #[derive(Debug)]
 struct Round {
     arrives_at: TimeMs,
@@ -20,13 +20,13 @@
     prefixes: Vec<PrefixRow>,
 }
 
-/// The sums on their way, and what each instance sent.
+/// The sums in flight, and the reports that each instance sent.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     delay_ms: u64,
     sequence: u32,
     sent: Vec<SentReports>,
-    on_the_way: VecDeque<Round>,
+    in_flight: VecDeque<Round>,
 }
 
 impl Exchange {
@@ -35,19 +35,19 @@
             delay_ms,
             sequence: 0,
             sent: vec![SentReports::default(); instances],
-            on_the_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
         }
     }
 
-    /// Collects everyone's report, and brings the sums that have arrived to everyone.
+    /// Collects the reports of all instances, and delivers the sums that are due to all instances.
     pub(crate) fn tick(&mut self, instances: &mut [Dispatcher], now: TimeMs) {
         self.collect(instances, now);
         while self
-            .on_the_way
+            .in_flight
             .front()
             .is_some_and(|round| round.arrives_at <= now)
         {
-            if let Some(round) = self.on_the_way.pop_front() {
+            if let Some(round) = self.in_flight.pop_front() {
                 self.deliver(&round, instances, now);
             }
         }
@@ -63,7 +63,7 @@
             prefixes.extend_from_slice(&report.prefixes);
             sent.record(self.sequence, &report);
         }
-        self.on_the_way.push_back(Round {
+        self.in_flight.push_back(Round {
             arrives_at: now.plus_ms(self.delay_ms),
             sequence: self.sequence,
             sum: sum.report(usize::MAX),
--- a/crates/reedsail_simulation/src/fleet.rs
+++ b/crates/reedsail_simulation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: the instances, engines and callers, event by event.
+//! Simulates the instances, engines and callers of a scenario, event by event.
 
 use std::collections::HashMap;
 
@@ -29,7 +29,7 @@
 use crate::Scenario;
 use crate::Shedding;
 use crate::WorkspaceOutcome;
-use crate::callers::entry;
+use crate::callers::draw_entry_instance;
 use crate::callers::next_request_us;
 use crate::engine::Engine;
 use crate::engine::Job;
@@ -39,31 +39,31 @@
 use crate::requests::PromptSource;
 use crate::requests::Request;
 
-/// Failure domains that instances and engines are spread over.
+/// Number of failure domains over which instances and engines are distributed.
 const FAILURE_DOMAINS: usize = 3;
-/// Interval at which instances judge overdue answers, in milliseconds.
+/// Interval at which instances check for overdue answers, in milliseconds.
 const TICK_MS: u64 = 50;
-/// Part of a caller's time that it waits at most before it comes back, as the users' callers do.
-const COME_BACK_DIVISOR: u64 = 3;
+/// A caller waits at most its deadline divided by this before it retries, like the users' callers.
+const RETRY_DELAY_DIVISOR: u64 = 3;
 
-/// What happens next.
+/// A scheduled event.
 #[derive(Debug)]
 enum Event {
     /// A workspace's next request arrives.
     Arrival { workspace: usize },
-    /// A refused request comes back.
-    ComesBack(Box<Request>),
-    /// A request's first event comes.
-    Begins { number: u64 },
+    /// A caller retries a refused request.
+    Retry(Box<Request>),
+    /// The first event of a request's answer arrives.
+    FirstEvent { number: u64 },
     /// A request's answer ends.
-    Ends { number: u64 },
-    /// Load is exchanged.
+    AnswerEnds { number: u64 },
+    /// Instances exchange load reports.
     Exchange,
-    /// Instances judge overdue answers.
+    /// Instances check for overdue answers.
     Tick,
 }
 
-/// A request that was sent.
+/// A request that was sent to an engine.
 #[derive(Debug)]
 struct Run {
     request: Request,
@@ -81,15 +81,15 @@
     exchange: Exchange,
     events: EventQueue<Event>,
     runs: HashMap<u64, Run>,
-    sent: u64,
+    last_number: u64,
     outcome: Outcome,
 }
 
-/// Plays a scenario to its end.
+/// Simulates a scenario to its end.
 pub fn simulate(scenario: &Scenario) -> Outcome {
     let mut fleet = Fleet::new(scenario);
-    fleet.begin();
-    let end_us = scenario.length_ms * 1_000;
+    fleet.schedule_first_events();
+    let end_us = scenario.duration_ms * 1_000;
     while let Some((now_us, event)) = fleet.events.next() {
         if now_us >= end_us {
             break;
@@ -115,14 +115,14 @@
     }
 }
 
-/// Returns an instance and its failure domain.
+/// Returns the names of an instance and of its failure domain.
 fn member(number: usize) -> (NameHash, NameHash) {
     let domain = NameHash::of(&format!("domain-{}", number % FAILURE_DOMAINS));
     (NameHash::of(&format!("instance-{number}")), domain)
 }
 
-fn now_of(now_us: u64) -> TimeMs {
-    // Begins at a second, so that no moment is zero, which stands for never.
+fn to_time(now_us: u64) -> TimeMs {
+    // Starts at 1 s, because a time of zero means never.
     TimeMs(1_000 + now_us / 1_000)
 }
 
@@ -150,7 +150,7 @@
             exchange: Exchange::new(scenario.instances, scenario.report_delay_ms),
             events: EventQueue::default(),
             runs: HashMap::new(),
-            sent: 0,
+            last_number: 0,
             outcome: Outcome {
                 workspaces: vec![WorkspaceOutcome::default(); scenario.workspaces.len()],
                 ..Outcome::default()
@@ -158,7 +158,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_first_events(&mut self) {
         for workspace in 0..self.scenario.workspaces.len() {
             let at_us = next_request_us(self.scenario, workspace, 0, &mut self.random);
             self.events.add(at_us, Event::Arrival { workspace });
@@ -172,28 +172,28 @@
             Event::Arrival { workspace } => {
                 let at_us = next_request_us(self.scenario, workspace, now_us, &mut self.random);
                 self.events.add(at_us, Event::Arrival { workspace });
-                let instance = entry(self.scenario, workspace, &mut self.random);
+                let instance = draw_entry_instance(self.scenario, workspace, &mut self.random);
                 let request = self.prompts.draw(workspace, instance, &mut self.random);
                 self.arrive(request, now_us);
             }
-            Event::ComesBack(request) => self.arrive(*request, now_us),
-            Event::Begins { number } => self.record_first_event(number, now_us),
-            Event::Ends { number } => self.end(number, now_us),
+            Event::Retry(request) => self.arrive(*request, now_us),
+            Event::FirstEvent { number } => self.record_first_event(number, now_us),
+            Event::AnswerEnds { number } => self.end(number, now_us),
             Event::Exchange => {
-                self.exchange.tick(&mut self.instances, now_of(now_us));
-                let next_us = now_us + self.scenario.report_every_ms * 1_000;
+                self.exchange.tick(&mut self.instances, to_time(now_us));
+                let next_us = now_us + self.scenario.report_interval_ms * 1_000;
                 self.events.add(next_us, Event::Exchange);
             }
             Event::Tick => {
                 for instance in &mut self.instances {
-                    instance.tick(now_of(now_us));
+                    instance.tick(to_time(now_us));
                 }
                 self.events.add(now_us + TICK_MS * 1_000, Event::Tick);
             }
         }
     }
 
-    /// Brings a request before its instance.
+    /// Passes a request to its instance, which tries engines until one accepts the request.
     fn arrive(&mut self, request: Request, now_us: u64) {
         self.count_arrival(&request, now_us);
         let mut tried = Vec::new();
@@ -206,7 +206,7 @@
                         self.send(request, attempt, &placement, now_us);
                         return;
                     };
-                    self.turn_away(&request, attempt, shedding, now_us);
+                    self.reject(&request, attempt, shedding, now_us);
                     tried.push(placement.server);
                 }
                 Decision::Refuse {
@@ -225,18 +225,18 @@
     fn count_arrival(&mut self, request: &Request, now_us: u64) {
         let cost = request.prompt.cost();
         let name = &self.scenario.workspaces[request.workspace].name;
-        self.outcome.workspaces[request.workspace].requested += cost;
+        self.outcome.workspaces[request.workspace].requested_cost += cost;
         self.outcome.ledger.record_request(name, cost, now_us / 1_000);
-        self.outcome.accepted.record_request(name, cost, now_us / 1_000);
+        self.outcome.accepted_ledger.record_request(name, cost, now_us / 1_000);
         let demand = demand(request, name, &[]);
-        self.instances[request.instance].record_arrival(&demand, now_of(now_us));
+        self.instances[request.instance].record_arrival(&demand, to_time(now_us));
     }
 
     fn decide(&mut self, request: &Request, tried: &[ServerKey], now_us: u64) -> Decision {
         let name = &self.scenario.workspaces[request.workspace].name;
         let demand = demand(request, name, tried);
         let instance = &mut self.instances[request.instance];
-        let decision = instance.decide(&demand, now_of(now_us));
+        let decision = instance.decide(&demand, to_time(now_us));
         let row = decision_row(request, name, &decision, instance, now_us);
         self.outcome.decisions.push(row);
         decision
@@ -256,32 +256,32 @@
         });
         let name = &self.scenario.workspaces[request.workspace].name;
         let demand = demand(request, name, tried);
-        self.instances[request.instance].begin_attempt(&demand, placement, now_of(now_us))
+        self.instances[request.instance].begin_attempt(&demand, placement, to_time(now_us))
     }
 
-    /// Returns the span in which an engine turns requests away, if it does now.
+    /// Returns the load shedding that is active at an engine.
     fn shedding(&self, engine: usize, now_us: u64) -> Option<Shedding> {
         let at_ms = now_us / 1_000;
-        let is_now = |shedding: &&Shedding| {
+        let is_active = |shedding: &&Shedding| {
             shedding.engine == engine && (shedding.from_ms..shedding.until_ms).contains(&at_ms)
         };
-        self.scenario.sheddings.iter().find(is_now).copied()
+        self.scenario.sheddings.iter().find(is_active).copied()
     }
 
-    fn turn_away(&mut self, request: &Request, attempt: Attempt, shedding: Shedding, now_us: u64) {
+    fn reject(&mut self, request: &Request, attempt: Attempt, shedding: Shedding, now_us: u64) {
         let notice = ServerNotice {
             is_draining: false,
             backoff_ms: Some(shedding.backoff_ms),
         };
-        self.tell(request.instance, shedding.engine, notice, now_us);
+        self.send_notice(request.instance, shedding.engine, notice, now_us);
         let instance = &mut self.instances[request.instance];
-        instance.finish_attempt(attempt, AttemptOutcome::Rejected, now_of(now_us));
+        instance.finish_attempt(attempt, AttemptOutcome::Rejected, to_time(now_us));
     }
 
-    /// Has an engine say something of itself in an answer to an instance.
-    fn tell(&mut self, instance: usize, engine: usize, notice: ServerNotice, now_us: u64) {
+    /// Sends a server notice from an engine to an instance.
+    fn send_notice(&mut self, instance: usize, engine: usize, notice: ServerNotice, now_us: u64) {
         let server = ServerKey::from_index(engine);
-        self.instances[instance].record_notice(server, notice, now_of(now_us));
+        self.instances[instance].record_notice(server, notice, to_time(now_us));
         self.outcome.notices.push(NoticeRow {
             at_ms: now_us / 1_000,
             instance,
@@ -290,14 +290,14 @@
         });
     }
 
-    fn drains(&self, engine: usize, now_us: u64) -> bool {
+    fn is_draining(&self, engine: usize, now_us: u64) -> bool {
         let mut drainings = self.scenario.drainings.iter();
         drainings.any(|draining| draining.engine == engine && draining.from_ms <= now_us / 1_000)
     }
 
     fn send(&mut self, request: Request, attempt: Attempt, placement: &Placement, now_us: u64) {
-        self.sent += 1;
-        let number = self.sent;
+        self.last_number += 1;
+        let number = self.last_number;
         let engine = engine_index(placement.server);
         let job = Job {
             number,
@@ -315,7 +315,7 @@
         self.schedule(started);
     }
 
-    /// Counts a refusal; the caller comes back once, by another instance.
+    /// Counts a refusal. The caller retries once, at a random instance.
     fn refuse(&mut self, mut request: Request, kind: ErrorKind, retry_after_ms: u64, now_us: u64) {
         let workspace = &mut self.outcome.workspaces[request.workspace];
         match kind {
@@ -324,60 +324,60 @@
         }
         let name = &self.scenario.workspaces[request.workspace].name;
         self.outcome.ledger.record_refused_or_late(name, now_us / 1_000);
-        self.outcome.accepted.record_refused_or_late(name, now_us / 1_000);
-        if request.has_come_back {
+        self.outcome.accepted_ledger.record_refused_or_late(name, now_us / 1_000);
+        if request.has_retried {
             return;
         }
-        request.has_come_back = true;
+        request.has_retried = true;
         request.instance = self.random.random_range(0..self.instances.len());
-        let after_ms = retry_after_ms.min(request.deadline_ms / COME_BACK_DIVISOR);
-        let at_us = now_us + after_ms * 1_000;
-        self.events.add(at_us, Event::ComesBack(Box::new(request)));
+        let delay_ms = retry_after_ms.min(request.deadline_ms / RETRY_DELAY_DIVISOR);
+        let at_us = now_us + delay_ms * 1_000;
+        self.events.add(at_us, Event::Retry(Box::new(request)));
     }
 
     fn schedule(&mut self, started: Option<Started>) {
         if let Some(started) = started {
             let number = started.number;
-            self.events.add(started.first_event_us, Event::Begins { number });
-            self.events.add(started.end_us, Event::Ends { number });
+            self.events.add(started.first_event_us, Event::FirstEvent { number });
+            self.events.add(started.end_us, Event::AnswerEnds { number });
         }
     }
 
     fn record_first_event(&mut self, number: u64, now_us: u64) {
-        let sent = self
+        let endpoints = self
             .runs
             .get(&number)
             .map(|run| (run.request.instance, run.engine));
-        let Some((instance, engine)) = sent else {
+        let Some((instance, engine)) = endpoints else {
             return;
         };
-        if self.drains(engine, now_us) {
+        if self.is_draining(engine, now_us) {
             let notice = ServerNotice {
                 is_draining: true,
                 backoff_ms: None,
             };
-            self.tell(instance, engine, notice, now_us);
+            self.send_notice(instance, engine, notice, now_us);
         }
         let Some(run) = self.runs.get_mut(&number) else {
             return;
         };
         let request = &run.request;
         if let Some(attempt) = &mut run.attempt {
-            self.instances[request.instance].record_first_event(attempt, now_of(now_us));
+            self.instances[request.instance].record_first_event(attempt, to_time(now_us));
         }
         let cost = request.prompt.cost();
         let name = &self.scenario.workspaces[request.workspace].name;
         let outcome = &mut self.outcome.workspaces[request.workspace];
-        outcome.got += cost;
+        outcome.begun_cost += cost;
         self.outcome.ledger.record_begun(name, cost, now_us / 1_000);
         self.outcome
-            .accepted
+            .accepted_ledger
             .record_begun(name, cost, run.arrived_us / 1_000);
         let is_late = now_us - run.arrived_us > request.latency_target_ms * 1_000;
         if is_late {
             outcome.late += 1;
             self.outcome.ledger.record_refused_or_late(name, now_us / 1_000);
-            self.outcome.accepted.record_refused_or_late(name, now_us / 1_000);
+            self.outcome.accepted_ledger.record_refused_or_late(name, now_us / 1_000);
         } else {
             outcome.in_target += 1;
         }
@@ -389,7 +389,7 @@
         };
         if let Some(attempt) = run.attempt {
             let instance = &mut self.instances[run.request.instance];
-            instance.finish_attempt(attempt, AttemptOutcome::Answered, now_of(now_us));
+            instance.finish_attempt(attempt, AttemptOutcome::Answered, to_time(now_us));
         }
         let started = self.engines[run.engine].end(now_us);
         self.schedule(started);
@@ -409,8 +409,8 @@
     }
 }
 
-/// Notes a decision. The share is looked at for refusals only, which have just worked it out: to look at it
-/// elsewhere would change when levels are computed.
+/// Returns the record of a decision. It reads the share only for refusals, which have just computed it: reading it at
+/// other times would change when share levels are computed.
 fn decision_row(
     request: &Request,
     name: &str,
@@ -429,14 +429,14 @@
         instance: request.instance,
         cost: request.prompt.cost(),
         refusal,
-        share: refusal.map(|_| instance.workspace_share(NameHash::of(name), now_of(now_us))),
+        share: refusal.map(|_| instance.workspace_share(NameHash::of(name), to_time(now_us))),
         latency_target_ms: request.latency_target_ms,
         expected_ms: placement.map_or(0, |placement| placement.expected_ms),
         queue_ms: placement.map_or(0, |placement| placement.queue_ms),
     }
 }
 
-/// Returns the engine of a key: all instances were given the same list, in the order of the engines.
+/// Returns the index of a key's engine. All instances have the same server list, in the order of the engines.
 fn engine_index(server: ServerKey) -> usize {
     server.index()
 }
--- a/crates/reedsail_simulation/src/lib.rs
+++ b/crates/reedsail_simulation/src/lib.rs
@@ -1,14 +1,14 @@
-//! A simulated fleet: the router's own decisions on many instances, before simulated engines and callers, in
-//! simulated time and without sockets.
+//! A simulated fleet: many instances with the real dispatch code, simulated engines and callers, simulated time, and
+//! no sockets.
 //!
-//! A [`Scenario`] says what there is and who asks for how much; [`simulate`] plays it and returns what each
-//! workspace got. The same scenario gives the same outcome. What is real: decisions, sums of load and their
-//! way into the decisions. What is simulated: the network (a delay), engines (a slot, a prefill unit, a
-//! cache) and callers. It is for policies that only show under load of many workspaces; whether messages
-//! reach everyone is tested in `reedsail_gossip`.
+//! A [`Scenario`] describes the fleet and the load of each workspace. [`simulate`] runs it and returns the cost that
+//! engines began for each workspace. The same scenario always gives the same outcome. Decisions, load sums and their
+//! effect on decisions are real. The network (a delay), the engines (slots, a prefill unit and a cache) and the callers
+//! are simulated. The simulation tests policies whose effect shows only under the load of many workspaces. The tests of
+//! `reedsail_gossip` check that messages reach all instances.
 //!
-//! A [`CrashScenario`] is about something else: servers that end, with or without a request's doing, and what
-//! instances learn of it from each other. [`simulate_crashes`] plays it.
+//! A [`CrashScenario`] describes servers that end, with or without a request as the cause. [`simulate_crashes`] runs it
+//! and returns what instances learned about the ends from each other.
 
 mod callers;
 mod crash_fleet;
@@ -22,14 +22,14 @@
 mod scenario;
 
 pub use crash_fleet::simulate_crashes;
-pub use crash_scenario::CONTACT_MS;
 pub use crash_scenario::CrashOutcome;
 pub use crash_scenario::CrashScenario;
-pub use crash_scenario::Cut;
 pub use crash_scenario::MassCrash;
-pub use crash_scenario::NEWS_MS;
+pub use crash_scenario::NetworkPartition;
+pub use crash_scenario::PROPAGATION_MAX_MS;
 pub use crash_scenario::PoisonOutcome;
 pub use crash_scenario::PoisonPlan;
+pub use crash_scenario::QUARANTINE_DEADLINE_MS;
 pub use fleet::simulate;
 pub use outcome::ArrivalRow;
 pub use outcome::DecisionRow;
--- a/crates/reedsail_simulation/src/scenario.rs
+++ b/crates/reedsail_simulation/src/scenario.rs
@@ -1,63 +1,63 @@
-//! What a simulated fleet has, and who asks for how much.
+//! The scenario of a simulated fleet: its instances, engines and workspaces, and their load.
 
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Figures of one kind of prompt.
+/// Parameters of one kind of prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptKind {
-    /// Share of all requests that are of this kind.
+    /// Fraction of all requests that are of this kind.
     pub share: f64,
-    /// Time to the first event that its route aims at, in milliseconds.
+    /// Latency target of its route: the time to the first event, in milliseconds.
     pub latency_target_ms: u64,
     /// How long its callers wait, in milliseconds.
     pub deadline_ms: u64,
     /// Tokens of the segment that all workspaces share.
     pub common_tokens: u32,
-    /// Mean tokens of the segments that requests of one workspace share.
+    /// Mean tokens of a segment that requests of one workspace share.
     pub shared_tokens: u32,
-    /// Segments of that sort over all workspaces; each has an even part of them, and at least one.
+    /// Number of these segments over all workspaces. Each workspace has an equal part of them, and at least one.
     pub shared_segments: usize,
-    /// Mean tokens that belong to a request alone.
+    /// Mean tokens of the segment that is unique to a request.
     pub own_tokens: u32,
-    /// How unlike the lengths of requests are: the standard deviation of their logarithm.
-    pub own_spread: f64,
+    /// Standard deviation of the logarithm of that segment's length.
+    pub own_log_std_dev: f64,
     /// Tokens of an answer.
     pub output_tokens: u32,
 }
 
-/// How fast an engine is.
+/// The speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpeed {
-    /// Prompt tokens that it prefills in a millisecond.
+    /// Prompt tokens that it prefills per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Time to the first event beyond prefill, in milliseconds.
+    /// Time to the first event without prefill, in milliseconds.
     pub base_ms: f64,
-    /// Time of a generated token with one request running, in milliseconds.
+    /// Time per generated token with one running request, in milliseconds.
     pub token_ms: f64,
-    /// What each further request adds to that, in milliseconds.
+    /// Additional time per generated token for each further running request, in milliseconds.
     pub token_ms_per_running: f64,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at the same time.
     pub slots: u32,
-    /// How long it keeps a segment that nobody uses, in milliseconds.
-    pub cached_ms: u64,
+    /// How long it caches a segment after its last use, in milliseconds.
+    pub cache_ttl_ms: u64,
 }
 
-/// A span in which a workspace asks for a multiple of its usual.
+/// A time in which a workspace sends a multiple of its usual requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Flood {
-    /// The workspace's place in the list.
+    /// Index of the workspace.
     pub workspace: usize,
     /// When it begins, in milliseconds from the start.
     pub from_ms: u64,
     /// When it ends, in milliseconds from the start.
     pub until_ms: u64,
-    /// The multiple.
+    /// Factor by which its request rate is multiplied.
     pub factor: f64,
 }
 
-/// A span in which an engine turns every request away and asks for time.
+/// Load shedding: a time in which an engine rejects every request and asks for a back-off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shedding {
     /// The engine.
@@ -66,11 +66,11 @@
     pub from_ms: u64,
     /// When it ends, in milliseconds from the start.
     pub until_ms: u64,
-    /// For how long it wants nothing, in milliseconds.
+    /// Duration of the requested back-off, in milliseconds.
     pub backoff_ms: u64,
 }
 
-/// An engine that drains, and says so in its answers alone.
+/// An engine that drains, and announces it only in its answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Draining {
     /// The engine.
@@ -79,60 +79,61 @@
     pub from_ms: u64,
 }
 
-/// How much one workspace asks for, and where.
+/// The load of one workspace, and where it arrives.
 #[derive(Clone, Debug)]
 pub struct WorkspacePlan {
     /// Its name.
     pub name: String,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// The instances that its callers enter at.
-    pub entries: Vec<usize>,
+    /// Indexes of the instances at which its requests arrive.
+    pub entry_instances: Vec<usize>,
 }
 
 /// A fleet and its callers.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The seed of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Entry instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How fast they are.
+    /// Speed of each engine.
     pub speed: EngineSpeed,
     /// Interval of load reports, in milliseconds.
-    pub report_every_ms: u64,
-    /// How long a sum of reports is on its way, in milliseconds.
+    pub report_interval_ms: u64,
+    /// Transmission time of a sum of reports, in milliseconds.
     pub report_delay_ms: u64,
-    /// The kinds of prompts.
+    /// Kinds of prompts.
     pub kinds: Vec<PromptKind>,
-    /// The workspaces.
+    /// Load of each workspace.
     pub workspaces: Vec<WorkspacePlan>,
-    /// Who asks for more, and when.
+    /// Floods of workspaces.
     pub floods: Vec<Flood>,
-    /// Which engines turn requests away, and when.
+    /// Times of load shedding at engines.
     pub sheddings: Vec<Shedding>,
-    /// Which engines drain, and from when on.
+    /// Engines that drain.
     pub drainings: Vec<Draining>,
-    /// How long callers ask, in milliseconds.
-    pub length_ms: u64,
+    /// Simulated time, in milliseconds.
+    pub duration_ms: u64,
 }
 
-/// How the sizes of workspaces fall: the one at place `n` asks for `n` to the minus this of what the first asks.
+/// Exponent of the Zipf distribution of workspace sizes: the `n`th workspace sends `n` to the power of minus this times
+/// the requests of the first.
 const SIZE_EXPONENT: f64 = 1.8;
-/// Entry instances of a workspace whose callers are few.
-const FEW_ENTRIES_MAX: usize = 3;
+/// Maximum number of entry instances of a workspace that uses only a few.
+const FEW_ENTRY_INSTANCES_MAX: usize = 3;
 
 impl Scenario {
-    /// Makes a fleet of 85 instances before 60 engines and 30 workspaces of very unequal size, most of which
-    /// enter at few instances, that asks for `load` times what the engines produce, with a few floods drawn
-    /// from the seed.
+    /// Creates a fleet of 85 instances, 60 engines and 30 workspaces of very unequal size, most of which have only a
+    /// few entry instances. The total load is `load` times the capacity of the engines. The seed determines a few
+    /// floods.
     pub fn of_unequal_workspaces(seed: u64, load: f64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let instances = 85;
         let workspaces = unequal_workspaces(&mut random, 30, 1_270.0 * load, instances);
-        let floods = drawn_floods(&mut random, workspaces.len());
+        let floods = draw_floods(&mut random, workspaces.len());
         Self {
             seed,
             instances,
@@ -143,21 +144,21 @@
                 token_ms: 3.2,
                 token_ms_per_running: 0.05,
                 slots: 32,
-                cached_ms: 5_000,
+                cache_ttl_ms: 5_000,
             },
-            report_every_ms: 25,
+            report_interval_ms: 25,
             report_delay_ms: 50,
-            kinds: three_kinds(),
+            kinds: prompt_kinds(),
             workspaces,
             floods,
             sheddings: Vec::new(),
             drainings: Vec::new(),
-            length_ms: 22_000,
+            duration_ms: 22_000,
         }
     }
 }
 
-fn three_kinds() -> Vec<PromptKind> {
+fn prompt_kinds() -> Vec<PromptKind> {
     let long = PromptKind {
         share: 0.3,
         latency_target_ms: 600,
@@ -166,7 +167,7 @@
         shared_tokens: 4_870,
         shared_segments: 908,
         own_tokens: 6_610,
-        own_spread: 1.0,
+        own_log_std_dev: 1.0,
         output_tokens: 384,
     };
     let short = PromptKind {
@@ -177,7 +178,7 @@
         shared_tokens: 79,
         shared_segments: 430,
         own_tokens: 628,
-        own_spread: 0.8,
+        own_log_std_dev: 0.8,
         output_tokens: 290,
     };
     let tagging = PromptKind {
@@ -188,7 +189,7 @@
         shared_tokens: 227,
         shared_segments: 2_156,
         own_tokens: 1_800,
-        own_spread: 0.9,
+        own_log_std_dev: 0.9,
         output_tokens: 24,
     };
     vec![long, short, tagging]
@@ -200,35 +201,35 @@
     requests_per_s: f64,
     instances: usize,
 ) -> Vec<WorkspacePlan> {
-    let weight = |place: usize| (place as f64 + 1.0).powf(-SIZE_EXPONENT);
+    let weight = |index: usize| (index as f64 + 1.0).powf(-SIZE_EXPONENT);
     let total: f64 = (0..count).map(weight).sum();
     (0..count)
         .map(|place| {
-            let is_spread = random.random_bool(0.2);
-            let most = if is_spread { instances } else { FEW_ENTRIES_MAX };
-            let entries = random.random_range(1..=most);
+            let has_many_entry_instances = random.random_bool(0.2);
+            let entry_count_max = if has_many_entry_instances { instances } else { FEW_ENTRY_INSTANCES_MAX };
+            let entry_count = random.random_range(1..=entry_count_max);
             WorkspacePlan {
                 name: format!("workspace-{place}"),
                 requests_per_s: requests_per_s * weight(place) / total,
-                entries: (0..entries).map(|_| random.random_range(0..instances)).collect(),
+                entry_instances: (0..entry_count).map(|_| random.random_range(0..instances)).collect(),
             }
         })
         .collect()
 }
 
-/// Draws floods of some large and middling workspaces, which overlap.
-fn drawn_floods(random: &mut StdRng, workspaces: usize) -> Vec<Flood> {
-    let middling = workspaces / 2;
+/// Draws overlapping floods of workspaces in the larger half.
+fn draw_floods(random: &mut StdRng, workspaces: usize) -> Vec<Flood> {
+    let larger_half = workspaces / 2;
     (0..random.random_range(3..=8))
         .map(|_| {
-            let workspace = random.random_range(0..middling);
+            let workspace = random.random_range(0..larger_half);
             let from_ms = random.random_range(3_000..9_000);
-            let most: f64 = if workspace == 0 { 4.0 } else { 40.0 };
+            let factor_max: f64 = if workspace == 0 { 4.0 } else { 40.0 };
             Flood {
                 workspace,
                 from_ms,
                 until_ms: from_ms + random.random_range(7_000..12_000),
-                factor: 2.0 * (most / 2.0).powf(random.random_range(0.0..1.0)),
+                factor: 2.0 * (factor_max / 2.0).powf(random.random_range(0.0..1.0)),
             }
         })
         .collect()
--- a/crates/reedsail_simulation/tests/server_notices.rs
+++ b/crates/reedsail_simulation/tests/server_notices.rs
@@ -1,4 +1,5 @@
-//! Fleets whose engines ask for time, or say in their answers alone that they drain.
+//! Guards against instances that ignore server notices: engines that ask for a back-off, or announce draining only in
+//! their answers, must get almost no further requests, and no surge of requests after the back-off.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -10,28 +11,29 @@
 use reedsail_simulation::Shedding;
 use reedsail_simulation::simulate;
 
-/// Simulated fleets.
+/// Number of simulated fleets.
 const SEEDS: u64 = 6;
+/// Duration of the back-off that an engine asks for, in milliseconds.
 const BACKOFF_MS: u64 = 3_000;
-/// Requests may arrive for so long after an engine has asked for time.
-const ON_THEIR_WAY_MS: u64 = 500;
-/// The most requests from one instance between then and the end of that time.
+/// Time for which requests may still arrive after an engine has asked for a back-off, in milliseconds.
+const IN_FLIGHT_MS: u64 = 500;
+/// Maximum number of requests from one instance between then and the end of the back-off.
 const ARRIVALS_MAX: usize = 2;
-/// When the engines that turn requests away begin and end to do so.
+/// Start and end of the load shedding, in milliseconds.
 const SHEDDING_MS: (u64, u64) = (5_000, 11_000);
-/// How long requests take to return to an engine.
+/// Time after load shedding in which requests return to an engine, in milliseconds.
 const RETURN_MS: u64 = 1_500;
-/// When the engines that drain begin.
+/// Time from which the draining engines drain, in milliseconds.
 const DRAINING_FROM_MS: u64 = 6_000;
-/// How long after the first answer that says it an engine that drains may get requests from anywhere: two reports of
-/// load.
+/// Maximum time after the first answer that announces draining in which the engine may get requests from any instance,
+/// in milliseconds: two load reports.
 const DRAINING_KNOWN_MS: u64 = 200;
 
-/// What came of each seed, for all tests.
-static OUTCOMES: LazyLock<Vec<Outcome>> = LazyLock::new(|| (0..SEEDS).map(play).collect());
+/// The outcome of each seed, shared by all tests.
+static OUTCOMES: LazyLock<Vec<Outcome>> = LazyLock::new(|| (0..SEEDS).map(simulate_seed).collect());
 
-/// Plays a fleet of 85 instances before 60 engines: a third turn everything away for a while, six drain.
-fn play(seed: u64) -> Outcome {
+/// Simulates a fleet of 85 instances and 60 engines. A third of the engines shed load for a while, and six drain.
+fn simulate_seed(seed: u64) -> Outcome {
     let sheddings = (0..20).map(|engine| Shedding {
         engine,
         from_ms: SHEDDING_MS.0,
@@ -50,28 +52,28 @@
 }
 
 #[test]
-fn an_engine_that_asked_for_time_gets_it_from_each_instance_that_it_asked() {
+fn an_instance_sends_few_requests_to_an_engine_that_asked_it_for_a_backoff() {
     for (seed, outcome) in OUTCOMES.iter().enumerate() {
         let mut arrivals: HashMap<(usize, usize), Vec<u64>> = HashMap::new();
         for arrival in &outcome.arrivals {
-            let place = (arrival.instance, arrival.engine);
-            arrivals.entry(place).or_default().push(arrival.at_ms);
+            let pair = (arrival.instance, arrival.engine);
+            arrivals.entry(pair).or_default().push(arrival.at_ms);
         }
-        let asked = outcome.notices.iter().filter(|row| !row.notice.is_draining);
+        let backoffs = outcome.notices.iter().filter(|row| !row.notice.is_draining);
         let mut count = 0;
-        for row in asked {
+        for row in backoffs {
             count += 1;
-            let within = row.at_ms + ON_THEIR_WAY_MS + 1..row.at_ms + BACKOFF_MS;
+            let within = row.at_ms + IN_FLIGHT_MS + 1..row.at_ms + BACKOFF_MS;
             let arrivals = &arrivals[&(row.instance, row.engine)];
             let early = arrivals.iter().filter(|at_ms| within.contains(at_ms)).count();
             assert!(early <= ARRIVALS_MAX, "seed {seed}: {early} after {row:?}");
         }
-        assert!(count > 100, "seed {seed}: {count}");
+        assert!(count > 100, "seed {seed}: only {count} back-off notices");
     }
 }
 
 #[test]
-fn an_engine_that_is_returned_to_gets_no_more_than_those_that_were_never_away() {
+fn an_engine_gets_no_more_requests_than_others_after_its_load_shedding() {
     for (seed, outcome) in OUTCOMES.iter().enumerate() {
         for from_ms in (SHEDDING_MS.1..SHEDDING_MS.1 + RETURN_MS).step_by(250) {
             let mut arrivals = [0_usize; 60];
@@ -79,8 +81,8 @@
                 let is_within = (from_ms..from_ms + 1_000).contains(&row.at_ms);
                 arrivals[row.engine] += usize::from(is_within);
             }
-            let most = |engines: &[usize]| engines.iter().max().copied().unwrap_or(0);
-            let (returned, others) = (most(&arrivals[..20]), most(&arrivals[20..54]));
+            let max = |engines: &[usize]| engines.iter().max().copied().unwrap_or(0);
+            let (returned, others) = (max(&arrivals[..20]), max(&arrivals[20..54]));
             assert!(
                 returned <= others,
                 "seed {seed}, second from {from_ms}: {returned}, others {others}"
@@ -90,11 +92,11 @@
 }
 
 #[test]
-fn an_engine_that_drains_by_its_answers_gets_nothing_more_from_any_instance() {
+fn an_engine_that_announces_draining_in_its_answers_gets_no_more_requests() {
     for (seed, outcome) in OUTCOMES.iter().enumerate() {
-        let mut told = HashSet::new();
+        let mut draining_engines = HashSet::new();
         for row in outcome.notices.iter().filter(|row| row.notice.is_draining) {
-            if !told.insert(row.engine) {
+            if !draining_engines.insert(row.engine) {
                 continue;
             }
             let due_ms = row.at_ms + DRAINING_KNOWN_MS;
@@ -104,6 +106,6 @@
                 .filter(|arrival| arrival.engine == row.engine && arrival.at_ms > due_ms);
             assert_eq!(late.count(), 0, "seed {seed}, engine {}", row.engine);
         }
-        assert_eq!(told.len(), 6, "seed {seed}");
+        assert_eq!(draining_engines.len(), 6, "seed {seed}");
     }
 }
--- a/crates/reedsail_simulation/tests/starved_workspace.rs
+++ b/crates/reedsail_simulation/tests/starved_workspace.rs
@@ -1,37 +1,37 @@
-//! A few workspaces asked for many times their usual at once. The largest flood was sent twice its share and
-//! more, and other workspaces got less than half of theirs for six seconds, of two sorts: some that were within
-//! their share, refused since they would have been late behind the flood's prompts, and some a little over it,
-//! which were refused as the flood was and came through less often, as they asked less often. Every instance
-//! that saw a short queue let the flood in there, and some tens of them saw the same queue within the time that
-//! load takes to be told.
+//! Guards against floods that starve other workspaces. A few workspaces send many times their usual requests at the same
+//! time. The largest flood gets more than twice its share, and other workspaces get less than half of theirs for six
+//! seconds. Some of them are within their share, and are refused because they would miss their latency target behind the
+//! flood's prompts. Others are slightly over their share. They are refused like the flood, but are admitted less often
+//! because they send fewer requests. The cause: every instance that sees a short queue admits the flood there, and some
+//! tens of instances see the same queue before their load reports arrive.
 //!
-//! What settled it were lines of the same second: of a workspace within its share
+//! In the logs it shows as events of the same second. For a workspace within its share:
 //! `"kind":"would_miss_goal", "sent_tokens":"3220178", "level_tokens":"4997839", "queue_ms":"879",
-//! "target_ms":"400"`, and of the flood, which was sent on `"sent_tokens":"9298613", "level_tokens":"4803501",
-//! "requested_tokens":"173270661", "queue_ms":"0"`.
+//! "target_ms":"400"`. For the flood, whose requests are still sent: `"sent_tokens":"9298613",
+//! "level_tokens":"4803501", "requested_tokens":"173270661", "queue_ms":"0"`.
 
 use reedsail_fairness::ShareWindow;
 use reedsail_simulation::Scenario;
 use reedsail_simulation::simulate;
 
-/// Seeds in which a workspace within its share was starved, with the load of each.
+/// Seeds in which a workspace within its share is starved by the fault above, each with its load.
 const WITHIN_SHARE: [(u64, f64); 6] = [(12, 1.0), (64, 1.2), (66, 1.0), (35, 1.4), (22, 1.2), (59, 1.4)];
-/// Seeds in which one over its share was.
+/// Seeds in which a workspace over its share is starved by the fault above, each with its load.
 const OVER_SHARE: [(u64, f64); 6] = [(65, 1.4), (48, 1.0), (37, 1.2), (56, 1.4), (38, 1.4), (29, 1.4)];
 
-/// Plays scenarios side by side; returns the worst window of each.
+/// Simulates scenarios concurrently. Returns the worst window of each.
 fn worst_windows(seeds: &[(u64, f64)]) -> Vec<(u64, Option<ShareWindow>)> {
     std::thread::scope(|scope| {
-        let played: Vec<_> = seeds
+        let threads: Vec<_> = seeds
             .iter()
             .map(|(seed, load)| {
                 let scenario = Scenario::of_unequal_workspaces(*seed, *load);
                 (*seed, scope.spawn(move || simulate(&scenario).worst_window()))
             })
             .collect();
-        played
+        threads
             .into_iter()
-            .map(|(seed, played)| (seed, played.join().unwrap()))
+            .map(|(seed, thread)| (seed, thread.join().unwrap()))
             .collect()
     })
 }
@@ -52,11 +52,12 @@
     assert!(starved.is_empty(), "{} of 12 seeds: {starved:#?}", starved.len());
 }
 
-/// A seed in which the worst window seemed to be that of a fleet's first seconds. It begins 2,250 ms after the start
-/// and ends some 200 ms after the workspace's own flood begins, at 8,042 ms: 1,000 of the 1,683 thousand tokens that it
-/// requests come in these 200 ms. 843 thousand of them are accepted at once and begin in the next second, so the
-/// window counts them as requested and not as got; counted where they are accepted the seed has no window below 1.
-/// No caller waits longer for it, and the rule counts it all the same.
+/// A seed whose worst window looks like an effect of the fleet's first seconds, but is an edge of a flood. The window
+/// begins 2,250 ms after the start and ends about 200 ms after the workspace's own flood begins at 8,042 ms. 1,000 of
+/// the 1,683 thousand tokens that the workspace requests in the window arrive in these 200 ms. 843 thousand of them are
+/// accepted immediately and begin in the next second. The window therefore counts them as requested but not as begun. If
+/// runs count when they are accepted, the seed has no window below 1. No caller waits longer because of this, but the
+/// rule still counts it.
 const FIRST_SECONDS: (u64, f64) = (34, 1.2);
 
 #[test]
@@ -68,9 +69,10 @@
     }
 }
 
-/// Seeds whose worst window holds the beginning of the workspace's own flood (2012, 2027, 2158, 2057), or the end of
-/// it, while the workspace is over its share of the seconds before (2038: of 2.4 million tokens requested in the
-/// window's first second 0.1 million are sent, after 2.6 million in the three quarters of a second up to 9.5 s).
+/// Seeds whose worst window contains the beginning of the workspace's own flood (2012, 2027, 2158, 2057), or its end
+/// while the workspace is over its share because of the seconds before (2038). In seed 2038, only 0.1 of the 2.4 million
+/// tokens requested in the window's first second are sent, after 2.6 million in the three quarters of a second up to
+/// 9.5 s.
 const EDGES_OF_FLOODS: [(u64, f64); 6] = [
     (2012, 1.4),
     (2027, 1.4),
