--- a/crates/reedsail_simulation/examples/share_trace.rs
+++ b/crates/reedsail_simulation/examples/share_trace.rs
@@ -1,8 +1,8 @@
 //! Simulates floods and prints the windows in which a workspace gets too little of its share.
 //!
-//! `share_trace sweep FROM UNTIL LOAD…` simulates the seeds, cycling through the loads, and prints the worst window of
-//! each seed whose ratio is close to the bound. `share_trace seed SEED LOAD` prints, for the workspace of the worst
-//! window, the requested, sent and refused tokens of each time step, and each decision.
+//! `share_trace sweep FROM UNTIL LOAD…` simulates the seeds, cycling through the loads, and prints the worst
+//! window of each seed whose ratio is close to the bound. `share_trace seed SEED LOAD` prints, for the workspace
+//! of the worst window, the requested, sent and refused tokens of each time step, and each decision.
 
 use std::thread::ScopedJoinHandle;
 
--- a/crates/reedsail_simulation/src/callers.rs
+++ b/crates/reedsail_simulation/src/callers.rs
@@ -1,4 +1,5 @@
-//! Arrivals of callers' requests: each workspace's requests arrive at random times, at a higher rate during its floods.
+//! Arrivals of callers' requests: each workspace's requests arrive at random times, at a higher rate during its
+//! floods.
 
 use rand::Rng;
 use rand::rngs::StdRng;
--- a/crates/reedsail_simulation/src/crash_scenario.rs
+++ b/crates/reedsail_simulation/src/crash_scenario.rs
@@ -197,8 +197,8 @@
 /// of its first announcement.
 pub const PROPAGATION_MAX_MS: u64 = 500;
 
-/// Maximum time after the third end, after its own start or after a partition in which an instance learns that a request
-/// is quarantined, in milliseconds. The users require this bound.
+/// Maximum time after the third end, after its own start or after a partition in which an instance learns that a
+/// request is quarantined, in milliseconds. The users require this bound.
 pub const QUARANTINE_DEADLINE_MS: u64 = 3_000;
 
 /// The outcome of a scenario.
--- a/crates/reedsail_simulation/src/lib.rs
+++ b/crates/reedsail_simulation/src/lib.rs
@@ -1,14 +1,14 @@
 //! A simulated fleet: many instances with the real dispatch code, simulated engines and callers, simulated time, and
 //! no sockets.
 //!
-//! A [`Scenario`] describes the fleet and the load of each workspace. [`simulate`] runs it and returns the cost that
-//! engines began for each workspace. The same scenario always gives the same outcome. Decisions, load sums and their
-//! effect on decisions are real. The network (a delay), the engines (slots, a prefill unit and a cache) and the callers
-//! are simulated. The simulation tests policies whose effect shows only under the load of many workspaces. The tests of
-//! `reedsail_gossip` check that messages reach all instances.
+//! A [`Scenario`] describes the fleet and the load of each workspace. [`simulate`] runs it and returns the cost
+//! that engines began for each workspace. The same scenario always gives the same outcome. Decisions, load sums
+//! and their effect on decisions are real. The network (a delay), the engines (slots, a prefill unit and a cache)
+//! and the callers are simulated. The simulation tests policies whose effect shows only under the load of many
+//! workspaces. The tests of `reedsail_gossip` check that messages reach all instances.
 //!
-//! A [`CrashScenario`] describes servers that end, with or without a request as the cause. [`simulate_crashes`] runs it
-//! and returns what instances learned about the ends from each other.
+//! A [`CrashScenario`] describes servers that end, with or without a request as the cause. [`simulate_crashes`]
+//! runs it and returns what instances learned about the ends from each other.
 
 mod callers;
 mod crash_fleet;
--- a/crates/reedsail_simulation/src/scenario.rs
+++ b/crates/reedsail_simulation/src/scenario.rs
@@ -119,8 +119,8 @@
     pub duration_ms: u64,
 }
 
-/// Exponent of the Zipf distribution of workspace sizes: the `n`th workspace sends `n` to the power of minus this times
-/// the requests of the first.
+/// Exponent of the Zipf distribution of workspace sizes: the `n`th workspace sends `n` to the power of minus this
+/// times the requests of the first.
 const SIZE_EXPONENT: f64 = 1.8;
 /// Maximum number of entry instances of a workspace that uses only a few.
 const FEW_ENTRY_INSTANCES_MAX: usize = 3;
--- a/crates/reedsail_simulation/tests/server_notices.rs
+++ b/crates/reedsail_simulation/tests/server_notices.rs
@@ -25,8 +25,8 @@
 const RETURN_MS: u64 = 1_500;
 /// Time from which the draining engines drain, in milliseconds.
 const DRAINING_FROM_MS: u64 = 6_000;
-/// Maximum time after the first answer that announces draining in which the engine may get requests from any instance,
-/// in milliseconds: two load reports.
+/// Maximum time after the first answer that announces draining in which the engine may get requests from any
+/// instance, in milliseconds: two load reports.
 const DRAINING_KNOWN_MS: u64 = 200;
 
 /// The outcome of each seed, shared by all tests.
--- a/crates/reedsail_standin/src/engine.rs
+++ b/crates/reedsail_standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching, one token an interval, streams that resume and cancel.
+//! A stand-in for a model engine: continuous batching, one token per interval, and streams that can be resumed and
+//! cancelled.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -32,27 +33,27 @@
 use crate::http_server::Body;
 use crate::http_server::Handler;
 use crate::http_server::HttpServer;
-use crate::http_server::whole;
+use crate::http_server::full_response;
 use crate::prefix_cache::PrefixCache;
 
-/// The most prompt bytes that count as a prefix.
+/// Maximum number of prompt bytes that count as a prefix.
 const PREFIX_BYTES_MAX: usize = 64;
-/// The most runs that are recorded.
+/// Maximum number of recorded runs.
 const RUNS_MAX: usize = 200_000;
 
-/// How an engine behaves when nothing is wrong.
+/// How an engine behaves without faults.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineConfig {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Time between two tokens of one stream.
+    /// Time between two tokens of a stream, in milliseconds.
     pub token_interval_ms: u64,
-    /// Time to the first token when the prefix is not cached.
+    /// Time to the first token if the prefix is not cached, in milliseconds.
     pub prefill_ms: u64,
-    /// Prefixes that the cache holds.
+    /// Maximum number of cached prefixes.
     pub prefixes_max: usize,
-    /// How many answers later a dropped prefix is told; every fourth drop is never told.
-    pub cache_event_lag: usize,
+    /// How many answers later an eviction of a prefix is reported. Every fourth eviction is never reported.
+    pub eviction_report_lag_answers: usize,
 }
 
 impl Default for EngineConfig {
@@ -62,19 +63,19 @@
             token_interval_ms: 20,
             prefill_ms: 20,
             prefixes_max: 64,
-            cache_event_lag: 8,
+            eviction_report_lag_answers: 8,
         }
     }
 }
 
-/// What is wrong with an engine at the moment.
+/// The active faults of an engine.
 #[derive(Debug, Default)]
 pub struct EngineFaults {
-    /// Breaks off each stream after this many tokens; zero for never.
+    /// Breaks each stream off after this many tokens; zero for never.
     pub cut_after_tokens: AtomicU64,
-    /// Answers with another request's id.
+    /// Answers with the id of another request.
     pub crossed: AtomicBool,
-    /// Breaks each connection at the request.
+    /// Breaks each connection when a request arrives.
     pub broken: AtomicBool,
 }
 
@@ -82,25 +83,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// Every token was written.
-    Whole,
-    /// The engine broke off, by a fault.
+    Complete,
+    /// A fault broke the answer off.
     Cut,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// What the engine truly did for one request.
+/// A run of a request at an engine, as the engine observed it.
 #[derive(Clone, Debug)]
 pub struct EngineRun {
-    /// The id that came with the request.
+    /// The request's id.
     pub request_id: String,
-    /// The workspace that came with the request.
+    /// The request's workspace.
     pub workspace: String,
-    /// The token from which it was resumed.
+    /// Index of the token from which the request was resumed.
     pub resumed_from: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u64,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
 }
 
@@ -112,6 +113,7 @@
     runs: Mutex<Vec<EngineRun>>,
     tokens_by_workspace: Mutex<HashMap<String, u64>>,
     requests_seen: Mutex<HashMap<String, u64>>,
+    /// The cache, the evictions still to report, and the number of evictions so far.
     cache: Mutex<(PrefixCache, VecDeque<u64>, u64)>,
 }
 
@@ -125,8 +127,8 @@
     state: Arc<State>,
 }
 
-/// Returns the text of a token: it depends on the prompt and the place alone, so that a caller can
-/// tell its own answer from any other, and a resumed stream from a broken one.
+/// Returns the text of a token. The text depends only on the prompt and the token's index, so that a caller can
+/// detect the answer to another request and a stream that was resumed at the wrong token.
 pub fn token_text(prompt: &str, index: u64) -> String {
     format!("{:08x} ", XxHash64::oneshot(index, prompt.as_bytes()) as u32)
 }
@@ -135,7 +137,7 @@
     /// Starts an engine on a free loopback port.
     ///
     /// # Errors
-    /// The system's, when no port is to be had.
+    /// Returns the system's error if the port cannot be bound.
     pub async fn start(config: EngineConfig) -> std::io::Result<Self> {
         let state = Arc::new(State {
             config,
@@ -150,22 +152,22 @@
         Ok(Self { server, state })
     }
 
-    /// Returns where the engine takes requests.
+    /// Returns the address at which the engine accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Returns the switches of its faults.
+    /// Returns the engine's faults, which the caller can change.
     pub fn faults(&self) -> Arc<EngineFaults> {
         Arc::clone(&self.state.faults)
     }
 
-    /// Breaks every open connection, as if the engine had crashed and come back.
+    /// Breaks every open connection, as if the engine had crashed and restarted.
     pub fn crash(&self) {
         self.server.break_connections();
     }
 
-    /// Returns what ran, in the order of the ends.
+    /// Returns all runs, in the order of their ends.
     pub fn runs(&self) -> Vec<EngineRun> {
         lock(&self.state.runs).clone()
     }
@@ -175,12 +177,12 @@
         lock(&self.state.requests_seen).keys().cloned().collect()
     }
 
-    /// Returns the tokens generated so far for each workspace.
+    /// Returns the number of tokens generated so far for each workspace.
     pub fn tokens_by_workspace(&self) -> HashMap<String, u64> {
         lock(&self.state.tokens_by_workspace).clone()
     }
 
-    /// Returns running and waiting requests, and the busy slot time so far in milliseconds.
+    /// Returns the number of running and of waiting requests, and the busy slot time so far in milliseconds.
     pub fn load(&self) -> (u32, u32, f64) {
         self.state.slots.load()
     }
@@ -204,13 +206,13 @@
     content: String,
 }
 
-/// One request being generated; gives its slot back however it ends.
+/// The generation of an answer. Dropping it releases its slot and records the run.
 struct Generation {
     state: Arc<State>,
     prompt: String,
     request_id: String,
     workspace: String,
-    next: u64,
+    next_token_index: u64,
     resumed_from: u64,
     tokens_total: u64,
     end: RunEnd,
@@ -223,7 +225,7 @@
             request_id: std::mem::take(&mut self.request_id),
             workspace: std::mem::take(&mut self.workspace),
             resumed_from: self.resumed_from,
-            tokens: self.next - self.resumed_from,
+            tokens: self.next_token_index - self.resumed_from,
             end: self.end,
         };
         let mut runs = lock(&self.state.runs);
@@ -234,20 +236,20 @@
 }
 
 impl Generation {
-    /// Waits for the next token; `None` at the end or when a fault breaks the stream off.
-    async fn next_token(&mut self, ticks: &mut tokio::time::Interval) -> Option<String> {
-        if self.next >= self.tokens_total {
-            self.end = RunEnd::Whole;
+    /// Waits for the next token. Returns `None` at the end or if a fault breaks the stream off.
+    async fn next_token(&mut self, token_interval: &mut tokio::time::Interval) -> Option<String> {
+        if self.next_token_index >= self.tokens_total {
+            self.end = RunEnd::Complete;
             return None;
         }
-        let cut_after = self.state.faults.cut_after_tokens.load(Ordering::Relaxed);
-        if cut_after > 0 && self.next - self.resumed_from >= cut_after {
+        let cut_after_tokens = self.state.faults.cut_after_tokens.load(Ordering::Relaxed);
+        if cut_after_tokens > 0 && self.next_token_index - self.resumed_from >= cut_after_tokens {
             self.end = RunEnd::Cut;
             return None;
         }
-        ticks.tick().await;
-        let text = token_text(&self.prompt, self.next);
-        self.next += 1;
+        token_interval.tick().await;
+        let text = token_text(&self.prompt, self.next_token_index);
+        self.next_token_index += 1;
         let mut by_workspace = lock(&self.state.tokens_by_workspace);
         *by_workspace.entry(self.workspace.clone()).or_default() += 1;
         Some(text)
@@ -257,7 +259,7 @@
         format!(
             r#""usage":{{"prompt_tokens":{},"completion_tokens":{}}}"#,
             self.prompt.split_whitespace().count(),
-            self.next,
+            self.next_token_index,
         )
     }
 }
@@ -273,7 +275,7 @@
             .entry(call.request_id.clone())
             .or_default() += 1;
         let Some(chat) = read_chat(request).await? else {
-            return Ok(whole(
+            return Ok(full_response(
                 StatusCode::BAD_REQUEST,
                 r#"{"error":"not a chat request"}"#,
             ));
@@ -283,14 +285,14 @@
             .iter()
             .map(|message| message.content.as_str())
             .collect();
-        let (cached, told_drop) = state.touch_prefix(&prompt);
+        let (cached, reported_eviction) = state.touch_prefix(&prompt);
         state.slots.acquire(call.priority).await;
         let generation = Generation {
             state: Arc::clone(state),
             prompt,
             request_id: call.request_id.clone(),
             workspace: call.workspace,
-            next: call.resumed_from,
+            next_token_index: call.resumed_from,
             resumed_from: call.resumed_from,
             tokens_total: chat.max_tokens,
             end: RunEnd::Cancelled,
@@ -311,14 +313,14 @@
             response.headers_mut().insert("content-type", value);
             response
         } else {
-            answer_whole(generation).await?
+            respond_without_stream(generation).await?
         };
-        write_headers(response.headers_mut(), &call.request_id, &load, told_drop);
+        write_headers(response.headers_mut(), &call.request_id, &load, reported_eviction);
         Ok(response)
     }
 }
 
-/// The headers that an engine reads; one that is missing or unreadable has its default.
+/// The request headers that an engine reads. A missing or invalid header has its default value.
 struct CallHeaders {
     request_id: String,
     workspace: String,
@@ -341,13 +343,13 @@
     }
 }
 
-/// Writes what an engine says along with each answer.
-fn write_headers(headers: &mut HeaderMap, request_id: &str, load: &str, dropped_prefix: Option<u64>) {
+/// Writes the response headers of an engine.
+fn write_headers(headers: &mut HeaderMap, request_id: &str, load: &str, evicted_prefix: Option<u64>) {
     if let Ok(value) = request_id.parse() {
         headers.insert("x-request-id", value);
     }
     headers.insert("x-load", load.parse().expect("a valid header value"));
-    if let Some(prefix) = dropped_prefix {
+    if let Some(prefix) = evicted_prefix {
         let value = format!("{prefix:016x}").parse().expect("a valid header value");
         headers.insert("x-prefix-dropped", value);
     }
@@ -355,46 +357,47 @@
 
 async fn read_chat(request: Request<Incoming>) -> Result<Option<ChatRequest>, StandinError> {
     let body = request.into_body().collect().await.map_err(|_| StandinError)?;
-    // What cannot be read is answered with status 400.
+    // A body that is not a chat request gets status 400.
     Ok(serde_json::from_slice(&body.to_bytes()).ok())
 }
 
 impl State {
-    /// Uses the prompt's prefix; drops are told late, and some never.
+    /// Uses the prompt's prefix. Returns whether it was cached, and an eviction to report. Evictions are reported
+    /// late, and some never.
     fn touch_prefix(&self, prompt: &str) -> (bool, Option<u64>) {
         let end = prompt.len().min(PREFIX_BYTES_MAX);
         let prefix = XxHash64::oneshot(0, &prompt.as_bytes()[..end]);
         let mut cache = lock(&self.cache);
-        let (cached, dropped) = cache.0.touch(prefix);
-        if let Some(dropped) = dropped {
+        let (cached, evicted) = cache.0.touch(prefix);
+        if let Some(evicted) = evicted {
             cache.2 += 1;
             if !cache.2.is_multiple_of(4) {
-                cache.1.push_back(dropped);
+                cache.1.push_back(evicted);
             }
         }
-        let told = (cache.1.len() > self.config.cache_event_lag)
+        let reported = (cache.1.len() > self.config.eviction_report_lag_answers)
             .then(|| cache.1.pop_front())
             .flatten();
-        (cached, told)
+        (cached, reported)
     }
 
-    fn ticks(&self) -> tokio::time::Interval {
-        let mut ticks = interval(Duration::from_millis(self.config.token_interval_ms.max(1)));
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        ticks
+    fn token_interval(&self) -> tokio::time::Interval {
+        let mut token_interval = interval(Duration::from_millis(self.config.token_interval_ms.max(1)));
+        token_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        token_interval
     }
 }
 
 async fn stream_tokens(mut generation: Generation, mut sender: Sender<Bytes, StandinError>) {
-    let mut ticks = generation.state.ticks();
-    while let Some(text) = generation.next_token(&mut ticks).await {
+    let mut token_interval = generation.state.token_interval();
+    while let Some(text) = generation.next_token(&mut token_interval).await {
         let event = format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{text}\"}}}}]}}\n\n");
         if sender.send_data(Bytes::from(event)).await.is_err() {
             generation.end = RunEnd::Cancelled;
             return;
         }
     }
-    if generation.end == RunEnd::Whole {
+    if generation.end == RunEnd::Complete {
         let usage = generation.usage();
         let end = format!(
             "data: {{\"choices\":[{{\"delta\":{{}},\"finish_reason\":\"stop\"}}],{usage}}}\n\ndata: [DONE]\n\n"
@@ -405,10 +408,10 @@
     }
 }
 
-async fn answer_whole(mut generation: Generation) -> Result<Response<Body>, StandinError> {
-    let mut ticks = generation.state.ticks();
+async fn respond_without_stream(mut generation: Generation) -> Result<Response<Body>, StandinError> {
+    let mut token_interval = generation.state.token_interval();
     let mut text = String::new();
-    while let Some(token) = generation.next_token(&mut ticks).await {
+    while let Some(token) = generation.next_token(&mut token_interval).await {
         text.push_str(&token);
     }
     if generation.end == RunEnd::Cut {
@@ -417,7 +420,7 @@
     let usage = generation.usage();
     let body =
         format!(r#"{{"choices":[{{"message":{{"content":"{text}"}},"finish_reason":"stop"}}],{usage}}}"#);
-    Ok(whole(StatusCode::OK, body))
+    Ok(full_response(StatusCode::OK, body))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
--- a/crates/reedsail_standin/src/engine_slots.rs
+++ b/crates/reedsail_standin/src/engine_slots.rs
@@ -1,4 +1,4 @@
-//! The batch of a model engine: so many run at once, the rest wait by priority.
+//! The batch of a model engine: a limited number of requests run at the same time, and the others wait by priority.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 
 use tokio::sync::oneshot;
 
-/// Counts running requests and the time integral of busy slots.
+/// The slots of an engine. Counts running requests and integrates the busy slots over time.
 #[derive(Debug)]
 pub(crate) struct EngineSlots(Mutex<State>);
 
@@ -16,7 +16,7 @@
     slots: u32,
     running: u32,
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
-    sequence: u64,
+    last_sequence: u64,
     busy_slot_ms: f64,
     measured_at: Instant,
 }
@@ -35,30 +35,30 @@
             slots,
             running: 0,
             waiting: BTreeMap::new(),
-            sequence: 0,
+            last_sequence: 0,
             busy_slot_ms: 0.0,
             measured_at: Instant::now(),
         }))
     }
 
-    /// Waits for a slot; the lowest priority number goes first.
+    /// Waits for a slot. The request with the lowest priority number gets the next free slot.
     pub(crate) async fn acquire(&self, priority: u8) {
         loop {
-            let woken = {
+            let wake_receiver = {
                 let mut state = self.lock();
                 if state.running < state.slots {
                     state.measure();
                     state.running += 1;
                     return;
                 }
-                let (waker, woken) = oneshot::channel();
-                state.sequence += 1;
-                let place = (priority, state.sequence);
-                state.waiting.insert(place, waker);
-                woken
+                let (wake_sender, wake_receiver) = oneshot::channel();
+                state.last_sequence += 1;
+                let queue_key = (priority, state.last_sequence);
+                state.waiting.insert(queue_key, wake_sender);
+                wake_receiver
             };
-            // A dropped waker only means that the place is lost; ask again.
-            let _ = woken.await;
+            // A dropped sender only means that the place in the queue is lost, so the loop tries again.
+            let _ = wake_receiver.await;
         }
     }
 
@@ -66,14 +66,14 @@
         let mut state = self.lock();
         state.measure();
         state.running -= 1;
-        while let Some((_, waker)) = state.waiting.pop_first() {
-            if waker.send(()).is_ok() {
+        while let Some((_, wake_sender)) = state.waiting.pop_first() {
+            if wake_sender.send(()).is_ok() {
                 return;
             }
         }
     }
 
-    /// Returns running and waiting requests, and the busy slot time so far in milliseconds.
+    /// Returns the number of running and of waiting requests, and the busy slot time so far in milliseconds.
     pub(crate) fn load(&self) -> (u32, u32, f64) {
         let mut state = self.lock();
         state.measure();
--- a/crates/reedsail_standin/src/http_server.rs
+++ b/crates/reedsail_standin/src/http_server.rs
@@ -17,22 +17,22 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// A body that is whole or comes in parts.
+/// A response body: complete or streamed.
 pub type Body = Either<Full<Bytes>, Channel<Bytes, StandinError>>;
 
-/// Breaks the connection without an answer.
+/// The error with which a handler breaks the connection without an answer.
 #[derive(Debug)]
 pub struct StandinError;
 
 impl std::fmt::Display for StandinError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the stand-in breaks the connection, as it was told to")
+        formatter.write_str("the stand-in broke the connection because of a configured fault")
     }
 }
 
 impl std::error::Error for StandinError {}
 
-/// What a stand-in does with a request.
+/// The request handler of a stand-in.
 pub trait Handler: Clone + Send + Sync + 'static {
     /// Answers a request, or breaks its connection.
     fn handle(
@@ -41,35 +41,35 @@
     ) -> impl Future<Output = Result<Response<Body>, StandinError>> + Send;
 }
 
-/// A running server, whose connections can all be broken at once.
+/// A running server that can break all its connections at once.
 #[derive(Debug)]
 pub struct HttpServer {
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     task: JoinHandle<()>,
-    breaker: watch::Sender<u64>,
+    disconnect_sender: watch::Sender<u64>,
 }
 
 impl HttpServer {
-    /// Serves on a free loopback port.
+    /// Starts a server on a free loopback port.
     ///
     /// # Errors
-    /// The system's, when no port is to be had.
+    /// Returns the system's error if the port cannot be bound.
     pub async fn start<H: Handler>(handler: H) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (breaker, broken) = watch::channel(0);
-        let task = tokio::spawn(accept(listener, handler, broken));
+        let (disconnect_sender, disconnects) = watch::channel(0);
+        let task = tokio::spawn(accept(listener, handler, disconnects));
         Ok(Self {
             address,
             task,
-            breaker,
+            disconnect_sender,
         })
     }
 
-    /// Breaks every open connection; new ones are taken.
+    /// Breaks every open connection. New connections are accepted.
     pub fn break_connections(&self) {
-        self.breaker.send_modify(|count| *count += 1);
+        self.disconnect_sender.send_modify(|count| *count += 1);
     }
 
     /// Stops the server and breaks its connections.
@@ -79,14 +79,14 @@
     }
 }
 
-async fn accept<H: Handler>(listener: TcpListener, handler: H, broken: watch::Receiver<u64>) {
+async fn accept<H: Handler>(listener: TcpListener, handler: H, disconnects: watch::Receiver<u64>) {
     while let Ok((stream, _)) = listener.accept().await {
         if stream.set_nodelay(true).is_err() {
             continue;
         }
         let handler = handler.clone();
-        let mut broken = broken.clone();
-        broken.mark_unchanged();
+        let mut disconnects = disconnects.clone();
+        disconnects.mark_unchanged();
         tokio::spawn(async move {
             let service = service_fn(|request| handler.handle(request));
             let connection = http1::Builder::new()
@@ -94,14 +94,14 @@
                 .serve_connection(TokioIo::new(stream), service);
             tokio::select! {
                 _ = connection => {}
-                _ = broken.changed() => {}
+                _ = disconnects.changed() => {}
             }
         });
     }
 }
 
-/// Makes a whole answer.
-pub(crate) fn whole(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+/// Returns a response with a complete body.
+pub(crate) fn full_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     Response::builder()
         .status(status)
         .header("content-type", "application/json")
--- a/crates/reedsail_standin/src/lib.rs
+++ b/crates/reedsail_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what lies around the fleet: the platform, model engines, plain services.
+//! Small stand-ins for the systems around the fleet: the platform, model engines, plain services and backend servers.
 //!
-//! Each runs on a loopback port inside the calling process, keeps a record of what truly happened,
-//! and has faults that a test or a script can switch on.
+//! Each runs on a loopback port inside the calling process, records what happened, and has faults that a test or a
+//! script can switch on.
 
 mod engine;
 mod engine_slots;
--- a/crates/reedsail_standin/src/plain_service.rs
+++ b/crates/reedsail_standin/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! A plain service, like bookings or a till's prices: records what ran.
+//! A stand-in for a plain service, such as bookings or prices. It records the calls that ran.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,27 +20,27 @@
 use crate::http_server::Body;
 use crate::http_server::Handler;
 use crate::http_server::HttpServer;
-use crate::http_server::whole;
+use crate::http_server::full_response;
 
-/// What is wrong with a service at the moment.
+/// The active faults of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainFaults {
-    /// Runs the call, then breaks the connection instead of answering; so many times.
+    /// Number of next calls that run, but whose connection breaks before the answer.
     pub answers_lost: u32,
-    /// Answers with another request's id; so many times.
+    /// Number of next answers that carry the id of another request.
     pub answers_crossed: u32,
-    /// Announces a longer body than it sends; so many times.
+    /// Number of next answers whose body is shorter than announced.
     pub answers_short: u32,
-    /// How long a call takes.
+    /// Duration of a call, in milliseconds.
     pub delay_ms: u64,
 }
 
 /// A call that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlainRun {
-    /// The id that came with the request.
+    /// The request's id.
     pub request_id: String,
-    /// The idempotency key that came with it.
+    /// The request's idempotency key.
     pub idempotency_key: String,
     /// The method and path.
     pub call: String,
@@ -74,14 +74,14 @@
     /// Starts a service on a free loopback port.
     ///
     /// # Errors
-    /// The system's, when no port is to be had.
+    /// Returns the system's error if the port cannot be bound.
     pub async fn start() -> std::io::Result<Self> {
         let handler = PlainHandler::default();
         let server = HttpServer::start(handler.clone()).await?;
         Ok(Self { server, handler })
     }
 
-    /// Returns where the service takes requests.
+    /// Returns the address at which the service accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
@@ -112,19 +112,19 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records the run and says how the answer is to go wrong.
+    /// Records the run and returns the fault of its answer.
     fn run(&self, run: PlainRun) -> AnswerFault {
         let mut state = self.lock();
         state.runs.push(run);
         let faults = &mut state.faults;
-        let switches = [
+        let fault_counters = [
             (&mut faults.answers_lost, AnswerFault::Lost),
             (&mut faults.answers_crossed, AnswerFault::Crossed),
             (&mut faults.answers_short, AnswerFault::Short),
         ];
-        for (left, fault) in switches {
-            if *left > 0 {
-                *left -= 1;
+        for (remaining, fault) in fault_counters {
+            if *remaining > 0 {
+                *remaining -= 1;
                 return fault;
             }
         }
@@ -155,10 +155,10 @@
             return Err(StandinError);
         }
         let body = format!(r#"{{"call":"{call}","request_id":"{request_id}"}}"#);
-        let mut response = whole(StatusCode::OK, body.clone());
+        let mut response = full_response(StatusCode::OK, body.clone());
         if fault == AnswerFault::Short {
             *response.body_mut() = Either::Left(Full::new(Bytes::from(body[..4].to_owned())));
-            // The announced length stays; hyper breaks the connection when the body ends early.
+            // The announced length stays, so hyper breaks the connection when the body ends early.
             let length = "4000".parse().expect("a valid header value");
             response.headers_mut().insert("content-length", length);
         }
--- a/crates/reedsail_standin/src/platform.rs
+++ b/crates/reedsail_standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: a log with limited rate and retention, and an instance list that lags.
+//! A stand-in for the platform: a log with limited rate and retention, and an instance list that lags.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -30,21 +30,21 @@
 use crate::http_server::Body;
 use crate::http_server::Handler;
 use crate::http_server::HttpServer;
-use crate::http_server::whole;
+use crate::http_server::full_response;
 use crate::platform_log::LogStreams;
 
-/// How the platform behaves when nothing is wrong.
+/// How the platform behaves without faults.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformConfig {
-    /// Appends a second that the log takes; more are refused with status 429.
+    /// Appends per second that the log accepts. It refuses more with status 429.
     pub appends_per_s: f64,
-    /// How long records are kept.
+    /// How long records are kept, in milliseconds.
     pub retention_ms: u64,
-    /// By how much the instance list lags.
+    /// Lag of the instance list, in milliseconds.
     pub list_lag_ms: u64,
-    /// How long an append takes.
+    /// Duration of an append, in milliseconds.
     pub append_ms: u64,
-    /// The seed of the faults that strike at random.
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
@@ -60,16 +60,16 @@
     }
 }
 
-/// What is wrong with the platform at the moment.
+/// The active faults of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformFaults {
-    /// Every call is refused with status 503.
+    /// The platform refuses every call with status 503.
     pub outage: bool,
-    /// The part of appends that take effect and lose their answer.
+    /// Fraction of appends that take effect but whose answer is lost.
     pub lost_answer_ratio: f64,
-    /// Each call takes so much longer.
+    /// Additional delay of each call, in milliseconds.
     pub delay_ms: u64,
-    /// The instance list stays as it is.
+    /// The instance list does not change.
     pub list_frozen: bool,
 }
 
@@ -79,7 +79,7 @@
     faults: PlatformFaults,
     log: LogStreams,
     append_tokens: f64,
-    tokens_at: Instant,
+    tokens_updated_at: Instant,
     list_version: u64,
     list: Vec<(u64, Instance)>,
     list_pending: VecDeque<(Instant, Instance)>,
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug)]
 struct PlatformHandler {
     state: Arc<Mutex<State>>,
-    changed: Arc<Notify>,
+    change_notify: Arc<Notify>,
 }
 
 /// A running platform.
@@ -103,14 +103,14 @@
     /// Starts a platform on a free loopback port.
     ///
     /// # Errors
-    /// The system's, when no port is to be had.
+    /// Returns the system's error if the port cannot be bound.
     pub async fn start(config: PlatformConfig) -> std::io::Result<Self> {
         let state = State {
             config,
             faults: PlatformFaults::default(),
             log: LogStreams::default(),
             append_tokens: config.appends_per_s,
-            tokens_at: Instant::now(),
+            tokens_updated_at: Instant::now(),
             list_version: 0,
             list: Vec::new(),
             list_pending: VecDeque::new(),
@@ -118,32 +118,32 @@
         };
         let handler = PlatformHandler {
             state: Arc::new(Mutex::new(state)),
-            changed: Arc::new(Notify::new()),
+            change_notify: Arc::new(Notify::new()),
         };
         let server = HttpServer::start(handler.clone()).await?;
         Ok(Self { server, handler })
     }
 
-    /// Returns where the platform takes calls.
+    /// Returns the address at which the platform accepts calls.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Adds or changes a row of the instance list; it shows after the list's lag.
+    /// Adds or changes a row of the instance list. The change is visible after the list's lag.
     pub fn set_instance(&self, instance: Instance) {
         self.handler.with_state(|state| {
-            let shown_at = Instant::now() + Duration::from_millis(state.config.list_lag_ms);
-            state.list_pending.push_back((shown_at, instance));
+            let published_at = Instant::now() + Duration::from_millis(state.config.list_lag_ms);
+            state.list_pending.push_back((published_at, instance));
         });
     }
 
     /// Switches faults on and off.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         self.handler.with_state(|state| change(&mut state.faults));
-        self.handler.changed.notify_waiters();
+        self.handler.change_notify.notify_waiters();
     }
 
-    /// Drops every record kept now, as if it had aged out.
+    /// Drops all records, as if their retention had expired.
     pub fn age_out(&self) {
         self.handler.with_state(|state| state.log.drop_before(u64::MAX));
     }
@@ -155,31 +155,31 @@
 }
 
 impl PlatformHandler {
-    fn with_state<T>(&self, use_it: impl FnOnce(&mut State) -> T) -> T {
-        use_it(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_state<T>(&self, action: impl FnOnce(&mut State) -> T) -> T {
+        action(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     async fn append(&self, stream: &str, data: Vec<u8>) -> Result<Response<Body>, StandinError> {
         let append_ms = self.with_state(|state| state.config.append_ms);
         sleep(Duration::from_millis(append_ms)).await;
         let outcome = self.with_state(|state| state.append(stream, data));
-        self.changed.notify_waiters();
+        self.change_notify.notify_waiters();
         match outcome {
-            None => Ok(whole(StatusCode::TOO_MANY_REQUESTS, "{}")),
+            None => Ok(full_response(StatusCode::TOO_MANY_REQUESTS, "{}")),
             Some((_, true)) => Err(StandinError),
             Some((offset, false)) => Ok(json(&Appended { offset })),
         }
     }
 
-    /// Answers once `read` has something to say, or when the wait is over.
+    /// Waits until `read` returns true or `wait_ms` have passed. Returns the second value of `read`.
     async fn wait_for<T>(&self, wait_ms: u64, read: impl Fn(&mut State) -> (bool, T)) -> T {
         let wait = async {
             loop {
-                let changed = self.changed.notified();
+                let changed = self.change_notify.notified();
                 if self.with_state(|state| read(state).0 || state.faults.outage) {
                     return;
                 }
-                // The list changes by the passing of time too, so look again now and then.
+                // Rows of the instance list also become visible as time passes, without a notification.
                 let _ = timeout(Duration::from_millis(50), changed).await;
             }
         };
@@ -193,7 +193,7 @@
         let faults = self.with_state(|state| state.faults);
         sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.outage {
-            return Ok(whole(StatusCode::SERVICE_UNAVAILABLE, "{}"));
+            return Ok(full_response(StatusCode::SERVICE_UNAVAILABLE, "{}"));
         }
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
@@ -206,7 +206,7 @@
             let from = query_number(&query, "from");
             let page = self.wait_for(wait_ms, |state| state.read(stream, from)).await;
             if self.with_state(|state| state.faults.outage) {
-                return Ok(whole(StatusCode::SERVICE_UNAVAILABLE, "{}"));
+                return Ok(full_response(StatusCode::SERVICE_UNAVAILABLE, "{}"));
             }
             return Ok(json(&page));
         }
@@ -215,43 +215,43 @@
             let list = self.wait_for(wait_ms, |state| state.list_since(since)).await;
             return Ok(json(&list));
         }
-        Ok(whole(StatusCode::NOT_FOUND, "{}"))
+        Ok(full_response(StatusCode::NOT_FOUND, "{}"))
     }
 }
 
 impl State {
-    /// Returns the offset and whether the answer is to be lost, or `None` over the rate.
+    /// Returns the offset and whether the answer is lost, or `None` if the append exceeds the rate.
     fn append(&mut self, stream: &str, data: Vec<u8>) -> Option<(u64, bool)> {
-        let elapsed_s = self.tokens_at.elapsed().as_secs_f64();
-        self.tokens_at = Instant::now();
+        let elapsed_s = self.tokens_updated_at.elapsed().as_secs_f64();
+        self.tokens_updated_at = Instant::now();
         let rate = self.config.appends_per_s;
         self.append_tokens = (self.append_tokens + elapsed_s * rate).min(rate);
         if self.append_tokens < 1.0 {
             return None;
         }
         self.append_tokens -= 1.0;
-        let lost = self.random.random::<f64>() < self.faults.lost_answer_ratio;
-        Some((self.log.append(stream, data, unix_ms()), lost))
+        let is_answer_lost = self.random.random::<f64>() < self.faults.lost_answer_ratio;
+        Some((self.log.append(stream, data, unix_ms()), is_answer_lost))
     }
 
     fn read(&mut self, stream: &str, from: u64) -> (bool, reedsail_log_client::LogPage) {
-        let kept_from = unix_ms().saturating_sub(self.config.retention_ms);
-        self.log.drop_before(kept_from);
+        let kept_from_unix_ms = unix_ms().saturating_sub(self.config.retention_ms);
+        self.log.drop_before(kept_from_unix_ms);
         let page = self.log.read(stream, from);
         (!page.records.is_empty(), page)
     }
 
     fn list_since(&mut self, since: u64) -> (bool, InstanceList) {
-        self.show_pending();
-        let changed = self.list.iter().filter(|(version, _)| *version > since);
+        self.publish_pending_rows();
+        let changed_rows = self.list.iter().filter(|(version, _)| *version > since);
         let list = InstanceList {
             version: self.list_version,
-            instances: changed.map(|(_, instance)| instance.clone()).collect(),
+            instances: changed_rows.map(|(_, instance)| instance.clone()).collect(),
         };
         (!list.instances.is_empty(), list)
     }
 
-    fn show_pending(&mut self) {
+    fn publish_pending_rows(&mut self) {
         if self.faults.list_frozen {
             return;
         }
@@ -271,8 +271,8 @@
 }
 
 fn json<T: serde::Serialize>(value: &T) -> Response<Body> {
-    let body = serde_json::to_vec(value).expect("the platform's answers are always JSON");
-    whole(StatusCode::OK, body)
+    let body = serde_json::to_vec(value).expect("the platform's answers can be serialized as JSON");
+    full_response(StatusCode::OK, body)
 }
 
 fn query_number(query: &str, name: &str) -> u64 {
--- a/crates/reedsail_standin/src/platform_log.rs
+++ b/crates/reedsail_standin/src/platform_log.rs
@@ -1,4 +1,4 @@
-//! The log's streams: offsets that only grow, records that age out.
+//! The streams of the log: offsets only grow, and records expire.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -6,7 +6,7 @@
 use reedsail_log_client::LogPage;
 use reedsail_log_client::LogRecord;
 
-/// The most records of one answer.
+/// Maximum number of records in an answer.
 const PAGE_RECORDS_MAX: usize = 1_000;
 
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     }
 }
 
-/// Every stream of the log.
+/// All streams of the log.
 #[derive(Debug, Default)]
 pub(crate) struct LogStreams {
     streams: HashMap<String, Stream>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Drops records that were appended before a moment; the offsets after them stay.
+    /// Drops the records that were appended before a time. The offsets of later records do not change.
     pub(crate) fn drop_before(&mut self, unix_ms: u64) {
         for stream in self.streams.values_mut() {
             while stream
--- a/crates/reedsail_standin/src/prefix_cache.rs
+++ b/crates/reedsail_standin/src/prefix_cache.rs
@@ -1,32 +1,32 @@
-//! The prompt prefixes that a model engine holds in its limited memory.
+//! The cache of prompt prefixes of a model engine.
 
 use std::collections::VecDeque;
 
-/// Holds the most recently used prefixes.
+/// A cache of the most recently used prefixes, the least recently used one first.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
-    held_max: usize,
-    held: VecDeque<u64>,
+    capacity: usize,
+    prefixes: VecDeque<u64>,
 }
 
 impl PrefixCache {
-    pub(crate) fn new(held_max: usize) -> Self {
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
-            held_max,
-            held: VecDeque::new(),
+            capacity,
+            prefixes: VecDeque::new(),
         }
     }
 
-    /// Uses a prefix; returns whether it was held, and which prefix it pushed out.
+    /// Uses a prefix. Returns whether it was cached, and the evicted prefix.
     pub(crate) fn touch(&mut self, prefix: u64) -> (bool, Option<u64>) {
-        let place = self.held.iter().position(|held| *held == prefix);
-        if let Some(place) = place {
-            self.held.remove(place);
+        let position = self.prefixes.iter().position(|cached| *cached == prefix);
+        if let Some(position) = position {
+            self.prefixes.remove(position);
         }
-        self.held.push_back(prefix);
-        let dropped = (self.held.len() > self.held_max)
-            .then(|| self.held.pop_front())
+        self.prefixes.push_back(prefix);
+        let evicted = (self.prefixes.len() > self.capacity)
+            .then(|| self.prefixes.pop_front())
             .flatten();
-        (place.is_some(), dropped)
+        (position.is_some(), evicted)
     }
 }
--- a/crates/reedsail_standin/src/routed_server.rs
+++ b/crates/reedsail_standin/src/routed_server.rs
@@ -1,4 +1,4 @@
-//! A backend server of the router: answers as it is told, and records what reached it.
+//! A stand-in for a backend server of the router. It answers from a script and records the requests that it received.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,48 +26,48 @@
 use crate::http_server::Body;
 use crate::http_server::Handler;
 use crate::http_server::HttpServer;
-use crate::http_server::whole;
+use crate::http_server::full_response;
 
-/// The header that carries a request's id both ways.
+/// The header with a request's id, in requests and answers.
 const REQUEST_ID: &str = "reedsail-request-id";
-/// The last event that the caller has.
+/// The header with the id of the last event that the caller has received.
 const LAST_EVENT: &str = "last-event-id";
-/// How long a stream pauses between two events.
+/// Pause between two events of a stream, in milliseconds.
 const EVENT_PAUSE_MS: u64 = 5;
 
 /// How a routed server answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutedAnswer {
-    /// With a body of so many bytes.
+    /// With a complete body.
     Whole {
         /// The status.
         status: u16,
         /// The length of the body.
         bytes: usize,
     },
-    /// With a stream of events, numbered from one, or from the one after the caller's last.
+    /// With a stream of events. The numbers start at one, or after the last event that the caller has received.
     Stream {
         /// The number of the last event.
         events: u32,
-        /// After this event it pauses until the server crashes or the caller leaves.
+        /// Number of the event after which the stream pauses until the server crashes or the caller disconnects.
         pause_after: Option<u32>,
     },
-    /// With a stream of large events that is cut once one stays unread for so long.
+    /// With a stream of large events, sent as fast as they are read, that is cut if the reader stalls.
     Flood {
         /// The length of an event, in bytes.
         event_bytes: usize,
         /// The number of the last event.
         events: u32,
-        /// After what time without being read the stream is cut, in milliseconds.
+        /// How long an event may stay unread before the stream is cut, in milliseconds.
         stalled_ms: u64,
     },
-    /// It did not run the request.
+    /// That the server did not run the request.
     NotRun,
-    /// With another request's id.
+    /// With the id of another request.
     WrongId,
     /// With a body that is shorter than announced.
     Short,
-    /// The connection breaks.
+    /// With a broken connection.
     Broken,
     /// Never.
     Silent,
@@ -76,18 +76,18 @@
 /// A request that reached a routed server.
 #[derive(Clone, Debug)]
 pub struct RoutedRun {
-    /// Method and path with query.
+    /// The method, and the path with the query.
     pub call: String,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The caller left before the answer's end.
+    /// Whether the caller disconnected before the end of the answer.
     pub is_cancelled: bool,
 }
 
 impl RoutedRun {
-    /// Returns a header as text; empty if it is not there.
+    /// Returns a header as text. The text is empty if the header is missing.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default()
@@ -97,8 +97,8 @@
 #[derive(Debug, Default)]
 struct State {
     script: Vec<RoutedAnswer>,
-    /// What each answer carries besides.
-    headers: HeaderMap,
+    /// Additional headers of each answer.
+    answer_headers: HeaderMap,
     runs: Vec<RoutedRun>,
 }
 
@@ -113,35 +113,35 @@
 }
 
 impl RoutedStandin {
-    /// Starts a server on a free loopback port; it answers with 200 and 10 bytes.
+    /// Starts a server on a free loopback port. It answers with status 200 and 10 bytes by default.
     ///
     /// # Errors
-    /// The system's, when no port is to be had.
+    /// Returns the system's error if the port cannot be bound.
     pub async fn start() -> std::io::Result<Self> {
         let handler = RoutedHandler::default();
         let server = HttpServer::start(handler.clone()).await?;
         Ok(Self { server, handler })
     }
 
-    /// Returns where the server takes requests.
+    /// Returns the address at which the server accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Sets the next answers, in order; the last one is given to all later requests too.
+    /// Sets the next answers, in order. The last one also answers all later requests.
     pub fn answer_with(&self, script: &[RoutedAnswer]) {
         self.handler.lock().script = script.to_vec();
     }
 
-    /// Sets the headers that each answer carries from now on, in place of those before.
+    /// Replaces the additional headers of each answer.
     pub fn set_headers(&self, headers: &[(&'static str, &'static str)]) {
-        let said = headers
+        let answer_headers = headers
             .iter()
             .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
-        self.handler.lock().headers = said.collect();
+        self.handler.lock().answer_headers = answer_headers.collect();
     }
 
-    /// Returns every request that reached the server, in order.
+    /// Returns all requests that the server received, in order.
     pub fn runs(&self) -> Vec<RoutedRun> {
         self.handler.lock().runs.clone()
     }
@@ -177,16 +177,16 @@
     }
 }
 
-/// Marks its run as cancelled unless it is closed.
-struct RunMark {
+/// Marks its run as cancelled when it is dropped before the answer is complete.
+struct CancelGuard {
     handler: RoutedHandler,
     index: usize,
-    is_over: bool,
+    is_complete: bool,
 }
 
-impl Drop for RunMark {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_complete {
             self.handler.lock().runs[self.index].is_cancelled = true;
         }
     }
@@ -195,8 +195,8 @@
 impl Handler for RoutedHandler {
     async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, StandinError> {
         let mut response = self.answer(request).await?;
-        let said = self.lock().headers.clone();
-        response.headers_mut().extend(said);
+        let answer_headers = self.lock().answer_headers.clone();
+        response.headers_mut().extend(answer_headers);
         Ok(response)
     }
 }
@@ -214,16 +214,16 @@
             body,
             is_cancelled: false,
         });
-        let mut mark = RunMark {
+        let mut guard = CancelGuard {
             handler: self.clone(),
             index,
-            is_over: false,
+            is_complete: false,
         };
         match answer {
             RoutedAnswer::Stream { events, pause_after } => {
                 let first = first_event(last_event.as_ref());
                 let (sender, body) = Channel::new(1);
-                tokio::spawn(send_events(sender, first, events, pause_after, mark));
+                tokio::spawn(send_events(sender, first, events, pause_after, guard));
                 Ok(with_id(Response::new(Either::Right(body)), id))
             }
             RoutedAnswer::Flood {
@@ -232,7 +232,7 @@
                 stalled_ms,
             } => {
                 let (sender, body) = Channel::new(1);
-                tokio::spawn(send_flood(sender, event_bytes, events, stalled_ms, mark));
+                tokio::spawn(send_flood(sender, event_bytes, events, stalled_ms, guard));
                 Ok(with_id(Response::new(Either::Right(body)), id))
             }
             RoutedAnswer::Silent => {
@@ -240,25 +240,25 @@
                 Err(StandinError)
             }
             RoutedAnswer::Broken => {
-                mark.is_over = true;
+                guard.is_complete = true;
                 Err(StandinError)
             }
             RoutedAnswer::WrongId => {
-                mark.is_over = true;
+                guard.is_complete = true;
                 let other = HeaderValue::from_static("another");
-                Ok(with_id(whole(StatusCode::OK, "another's"), Some(other)))
+                Ok(with_id(full_response(StatusCode::OK, "another's"), Some(other)))
             }
             RoutedAnswer::Whole { .. } | RoutedAnswer::NotRun | RoutedAnswer::Short => {
-                mark.is_over = true;
-                Ok(with_id(whole_answer(answer), id))
+                guard.is_complete = true;
+                Ok(with_id(scripted_response(answer), id))
             }
         }
     }
 }
 
-/// Returns the number of the event that a stream begins with.
+/// Returns the number of a stream's first event.
 fn first_event(last_event: Option<&HeaderValue>) -> u32 {
-    // A caller whose last event cannot be read gets the stream from its start.
+    // If the id of the last event is invalid, the stream starts at its first event.
     let last = last_event.and_then(|event| event.to_str().ok()?.parse::<u32>().ok());
     last.map_or(1, |event| event + 1)
 }
@@ -270,17 +270,17 @@
     response
 }
 
-/// Makes an answer that is sent at once, whole or claiming to be.
-fn whole_answer(answer: RoutedAnswer) -> Response<Body> {
+/// Returns a response that is sent at once: complete, or shorter than announced.
+fn scripted_response(answer: RoutedAnswer) -> Response<Body> {
     match answer {
         RoutedAnswer::NotRun => {
-            let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, "");
+            let mut response = full_response(StatusCode::SERVICE_UNAVAILABLE, "");
             let not_run = HeaderValue::from_static("not_run");
             response.headers_mut().insert("reedsail-ran", not_run);
             response
         }
         RoutedAnswer::Short => {
-            let mut response = whole(StatusCode::OK, "xxxx");
+            let mut response = full_response(StatusCode::OK, "xxxx");
             // hyper breaks the connection when the body ends early.
             let length = HeaderValue::from_static("4000");
             response.headers_mut().insert("content-length", length);
@@ -288,14 +288,14 @@
         }
         RoutedAnswer::Whole { status, bytes } => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-            whole(status, vec![b'x'; bytes])
+            full_response(status, vec![b'x'; bytes])
         }
         RoutedAnswer::Stream { .. }
         | RoutedAnswer::Flood { .. }
         | RoutedAnswer::WrongId
         | RoutedAnswer::Broken
         | RoutedAnswer::Silent => {
-            unreachable!("these are not whole answers")
+            unreachable!("these answers are not sent at once")
         }
     }
 }
@@ -305,7 +305,7 @@
     first: u32,
     events: u32,
     pause_after: Option<u32>,
-    mut mark: RunMark,
+    mut guard: CancelGuard,
 ) {
     for number in first..=events {
         let event = Bytes::from(format!("id: {number}\ndata: token {number}\n\n"));
@@ -313,7 +313,7 @@
             return;
         }
         if pause_after == Some(number) {
-            // An event without an id tells whether anybody still listens.
+            // Sending a comment line fails once the caller has disconnected.
             loop {
                 sleep(Duration::from_millis(EVENT_PAUSE_MS)).await;
                 if sender.send_data(Bytes::from_static(b": wait\n\n")).await.is_err() {
@@ -323,16 +323,16 @@
         }
         sleep(Duration::from_millis(EVENT_PAUSE_MS)).await;
     }
-    mark.is_over = true;
+    guard.is_complete = true;
 }
 
-/// Sends large events as fast as they are read, and cuts the stream once one stays unread.
+/// Sends large events as fast as they are read, and cuts the stream if one stays unread for too long.
 async fn send_flood(
     mut sender: Sender<Bytes, StandinError>,
     event_bytes: usize,
     events: u32,
     stalled_ms: u64,
-    mut mark: RunMark,
+    mut guard: CancelGuard,
 ) {
     for number in 1..=events {
         let event = Bytes::from(format!("id: {number}\ndata: {}\n\n", "x".repeat(event_bytes)));
@@ -345,5 +345,5 @@
             }
         }
     }
-    mark.is_over = true;
+    guard.is_complete = true;
 }
