--- a/crates/reedsail_simulation/src/crash_fleet.rs
+++ b/crates/reedsail_simulation/src/crash_fleet.rs
@@ -45,7 +45,8 @@
     fingerprint: Fingerprint,
     /// Index of the poison request in the scenario; `None` for a request that crashes no server.
     poison: Option<usize>,
-    /// The caller does not retry the request again.
+    /// Whether the caller has retried it already. It is always true for poison requests: `Event::PoisonArrival`
+    /// repeats them.
     has_retried: bool,
 }
 
@@ -117,6 +118,7 @@
     /// expires.
     records: Vec<(ServerSetup, usize)>,
     runs: HashMap<u64, Run>,
+    /// The last number that was given to a request or a run.
     last_id: u64,
     outcome: CrashOutcome,
 }
@@ -274,9 +276,9 @@
     fn check_servers(&mut self, now_ms: u64) {
         for instance in 0..self.instances.len() {
             for key in self.instances[instance].dispatcher.take_servers_to_check() {
-                let listens = self.listening_server(instance, key).is_some();
+                let is_listening = self.listening_server(instance, key).is_some();
                 let dispatcher = &mut self.instances[instance].dispatcher;
-                dispatcher.record_check(key, listens, to_time(now_ms));
+                dispatcher.record_check(key, is_listening, to_time(now_ms));
             }
         }
     }
--- a/crates/reedsail_simulation/src/crash_scenario.rs
+++ b/crates/reedsail_simulation/src/crash_scenario.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Creates a fleet with one to three poison requests. Depending on the seed it also has a mass crash, a network
-    /// partition or a rolling restart of all instances.
+    /// Creates a fleet with one to three poison requests. Depending on the seed it also has any of a mass crash, a
+    /// network partition and a rolling restart of all instances.
     pub fn with_poisons(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut scenario = Self::without_crashes(seed);
@@ -206,12 +206,12 @@
 pub struct CrashOutcome {
     /// Outcomes of the poison requests, in the order of the scenario.
     pub poisons: Vec<PoisonOutcome>,
-    /// Number of answered requests. Poison requests do not count, here and below.
+    /// Number of answered requests that crash no server.
     pub answered: u64,
-    /// Number of runs that broke because their server crashed.
+    /// Number of runs of such requests that broke because their server crashed.
     pub broken: u64,
-    /// Number of requests refused as quarantined.
+    /// Number of such requests that were refused as quarantined.
     pub wrongly_quarantined: u64,
-    /// Number of requests refused for another reason.
+    /// Number of such requests that were refused for another reason.
     pub refused: u64,
 }
