--- a/crates/reedsail_simulation/examples/share_trace.rs
+++ b/crates/reedsail_simulation/examples/share_trace.rs
@@ -67,7 +67,10 @@
         );
     }
     let below = results.iter().filter(|result| result.ratio < 1.0).count();
-    let accepted_below = results.iter().filter(|result| result.accepted_ratio < 1.0).count();
+    let accepted_below = results
+        .iter()
+        .filter(|result| result.accepted_ratio < 1.0)
+        .count();
     let in_target: u64 = results.iter().map(|result| result.in_target).sum();
     let late: u64 = results.iter().map(|result| result.late).sum();
     let seeds = results.len();
@@ -107,12 +110,19 @@
     let plans = scenario.workspaces.iter();
     let workspace_index = plans.take_while(|plan| plan.name != window.workspace).count();
     println!("{:?}", scenario.workspaces[workspace_index]);
-    for flood in scenario.floods.iter().filter(|flood| flood.workspace == workspace_index) {
+    for flood in scenario
+        .floods
+        .iter()
+        .filter(|flood| flood.workspace == workspace_index)
+    {
         println!("{flood:?}");
     }
     for step_ms in (0..scenario.duration_ms).step_by(STEP_MS as usize) {
         let in_step = |row: &&DecisionRow| row.at_ms / STEP_MS == step_ms / STEP_MS;
-        let of_workspace = outcome.decisions.iter().filter(|row| row.workspace == workspace_index);
+        let of_workspace = outcome
+            .decisions
+            .iter()
+            .filter(|row| row.workspace == workspace_index);
         print_step(step_ms, &of_workspace.filter(in_step).collect::<Vec<_>>());
     }
 }
--- a/crates/reedsail_simulation/src/crash_fleet.rs
+++ b/crates/reedsail_simulation/src/crash_fleet.rs
@@ -384,7 +384,8 @@
     fn count_send(&mut self, poison: usize, instance: usize, now_ms: u64) {
         let outcome = &self.outcome.poisons[poison];
         let is_late = self.must_know(outcome.third_end_ms, instance, QUARANTINE_DEADLINE_MS, now_ms);
-        let is_after_propagation = self.must_know(outcome.third_knowable_ms(), instance, PROPAGATION_MAX_MS, now_ms);
+        let is_after_propagation =
+            self.must_know(outcome.third_knowable_ms(), instance, PROPAGATION_MAX_MS, now_ms);
         let outcome = &mut self.outcome.poisons[poison];
         outcome.late_sends += u64::from(is_late);
         outcome.sends_after_propagation += u64::from(is_after_propagation);
@@ -396,7 +397,9 @@
         let is_overdue = |at_ms: u64| now_ms > at_ms + within_ms;
         let started_ms = self.instances[instance].started_ms;
         let is_past_startup = started_ms == 0 || is_overdue(started_ms);
-        knowable_ms.is_some_and(is_overdue) && is_past_startup && !self.scenario.was_partitioned(instance, within_ms, now_ms)
+        knowable_ms.is_some_and(is_overdue)
+            && is_past_startup
+            && !self.scenario.was_partitioned(instance, within_ms, now_ms)
     }
 
     fn count_quarantined(&mut self, request: Request) {
@@ -490,8 +493,9 @@
             .add(now_ms + self.scenario.report_interval_ms, Event::Report);
         let is_partitioned = |instance: usize| {
             let partitions = &self.scenario.partitions;
-            partitions.iter()
-                .any(|partition| partition.instance == instance && (partition.from_ms..partition.until_ms).contains(&now_ms))
+            partitions.iter().any(|partition| {
+                partition.instance == instance && (partition.from_ms..partition.until_ms).contains(&now_ms)
+            })
         };
         for from in 0..self.instances.len() {
             let report = self.instances[from].dispatcher.report(to_time(now_ms));
--- a/crates/reedsail_simulation/src/crash_scenario.rs
+++ b/crates/reedsail_simulation/src/crash_scenario.rs
@@ -140,16 +140,26 @@
 
     /// Returns whether an instance was partitioned at any time in the last `within_ms` before `now_ms`.
     pub(crate) fn was_partitioned(&self, instance: usize, within_ms: u64, now_ms: u64) -> bool {
-        let mut partitions = self.partitions.iter().filter(|partition| partition.instance == instance);
+        let mut partitions = self
+            .partitions
+            .iter()
+            .filter(|partition| partition.instance == instance);
         partitions.any(|partition| partition.from_ms <= now_ms && now_ms <= partition.until_ms + within_ms)
     }
 
     /// Returns the time from which other instances can learn of a server's end: immediately, or when the observer's
     /// network partition ends. Returns `None` if the observer is killed before it can report the end.
     pub(crate) fn knowable_from_ms(&self, observer: usize, now_ms: u64) -> Option<u64> {
-        let partitions = self.partitions.iter().filter(|partition| partition.instance == observer);
-        let current = partitions.filter(|partition| (partition.from_ms..partition.until_ms).contains(&now_ms));
-        let from_ms = current.map(|partition| partition.until_ms).max().unwrap_or(now_ms);
+        let partitions = self
+            .partitions
+            .iter()
+            .filter(|partition| partition.instance == observer);
+        let current =
+            partitions.filter(|partition| (partition.from_ms..partition.until_ms).contains(&now_ms));
+        let from_ms = current
+            .map(|partition| partition.until_ms)
+            .max()
+            .unwrap_or(now_ms);
         let is_killed = |(instance, at_ms): &(usize, u64)| {
             *instance == observer && (now_ms..from_ms + PROPAGATION_MAX_MS).contains(at_ms)
         };
--- a/crates/reedsail_simulation/src/fleet.rs
+++ b/crates/reedsail_simulation/src/fleet.rs
@@ -227,7 +227,9 @@
         let name = &self.scenario.workspaces[request.workspace].name;
         self.outcome.workspaces[request.workspace].requested_cost += cost;
         self.outcome.ledger.record_request(name, cost, now_us / 1_000);
-        self.outcome.accepted_ledger.record_request(name, cost, now_us / 1_000);
+        self.outcome
+            .accepted_ledger
+            .record_request(name, cost, now_us / 1_000);
         let demand = demand(request, name, &[]);
         self.instances[request.instance].record_arrival(&demand, to_time(now_us));
     }
@@ -324,7 +326,9 @@
         }
         let name = &self.scenario.workspaces[request.workspace].name;
         self.outcome.ledger.record_refused_or_late(name, now_us / 1_000);
-        self.outcome.accepted_ledger.record_refused_or_late(name, now_us / 1_000);
+        self.outcome
+            .accepted_ledger
+            .record_refused_or_late(name, now_us / 1_000);
         if request.has_retried {
             return;
         }
@@ -338,7 +342,8 @@
     fn schedule(&mut self, started: Option<Started>) {
         if let Some(started) = started {
             let number = started.number;
-            self.events.add(started.first_event_us, Event::FirstEvent { number });
+            self.events
+                .add(started.first_event_us, Event::FirstEvent { number });
             self.events.add(started.end_us, Event::AnswerEnds { number });
         }
     }
@@ -377,7 +382,9 @@
         if is_late {
             outcome.late += 1;
             self.outcome.ledger.record_refused_or_late(name, now_us / 1_000);
-            self.outcome.accepted_ledger.record_refused_or_late(name, now_us / 1_000);
+            self.outcome
+                .accepted_ledger
+                .record_refused_or_late(name, now_us / 1_000);
         } else {
             outcome.in_target += 1;
         }
--- a/crates/reedsail_simulation/src/scenario.rs
+++ b/crates/reedsail_simulation/src/scenario.rs
@@ -206,12 +206,18 @@
     (0..count)
         .map(|place| {
             let has_many_entry_instances = random.random_bool(0.2);
-            let entry_count_max = if has_many_entry_instances { instances } else { FEW_ENTRY_INSTANCES_MAX };
+            let entry_count_max = if has_many_entry_instances {
+                instances
+            } else {
+                FEW_ENTRY_INSTANCES_MAX
+            };
             let entry_count = random.random_range(1..=entry_count_max);
             WorkspacePlan {
                 name: format!("workspace-{place}"),
                 requests_per_s: requests_per_s * weight(place) / total,
-                entry_instances: (0..entry_count).map(|_| random.random_range(0..instances)).collect(),
+                entry_instances: (0..entry_count)
+                    .map(|_| random.random_range(0..instances))
+                    .collect(),
             }
         })
         .collect()
--- a/crates/reedsail_simulation/tests/poison_request.rs
+++ b/crates/reedsail_simulation/tests/poison_request.rs
@@ -86,5 +86,9 @@
             }
         }
     }
-    assert!(violations.is_empty(), "{} requests: {violations:#?}", violations.len());
+    assert!(
+        violations.is_empty(),
+        "{} requests: {violations:#?}",
+        violations.len()
+    );
 }
