--- a/crates/reedsail_simulation/src/fleet.rs
+++ b/crates/reedsail_simulation/src/fleet.rs
@@ -54,7 +54,7 @@
     /// A caller retries a refused request.
     Retry(Box<Request>),
     /// The first event of a request's answer arrives.
-    FirstEvent { number: u64 },
+    AnswerBegins { number: u64 },
     /// A request's answer ends.
     AnswerEnds { number: u64 },
     /// Instances exchange load reports.
@@ -177,7 +177,7 @@
                 self.arrive(request, now_us);
             }
             Event::Retry(request) => self.arrive(*request, now_us),
-            Event::FirstEvent { number } => self.record_first_event(number, now_us),
+            Event::AnswerBegins { number } => self.record_first_event(number, now_us),
             Event::AnswerEnds { number } => self.end(number, now_us),
             Event::Exchange => {
                 self.exchange.tick(&mut self.instances, to_time(now_us));
@@ -343,7 +343,7 @@
         if let Some(started) = started {
             let number = started.number;
             self.events
-                .add(started.first_event_us, Event::FirstEvent { number });
+                .add(started.first_event_us, Event::AnswerBegins { number });
             self.events.add(started.end_us, Event::AnswerEnds { number });
         }
     }
