--- a/crates/reedsail_bundle/src/follower.rs
+++ b/crates/reedsail_bundle/src/follower.rs
@@ -1,8 +1,8 @@
 //! Follows the bundle stream: checks each record, folds it, keeps the content in force.
 
-use reedsail_scheduling::AcceptFold;
 use reedsail_scheduling::AcceptedVersion;
 use reedsail_scheduling::FoldVerdict;
+use reedsail_scheduling::RolloutFold;
 use reedsail_scheduling::RolloutRecord;
 
 use crate::BundleRecord;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct BundleFollower {
     trusted: TrustedKeys,
-    fold: AcceptFold,
+    fold: RolloutFold,
     accepted: Option<(SignedHead, String)>,
 }
 
@@ -34,7 +34,7 @@
     pub fn new(trusted: TrustedKeys) -> Self {
         Self {
             trusted,
-            fold: AcceptFold::default(),
+            fold: RolloutFold::default(),
             accepted: None,
         }
     }
@@ -56,7 +56,7 @@
 
     /// Tells whether every record since a sure start was read; only then can proposals be judged.
     pub fn is_sure(&self) -> bool {
-        self.fold.is_sure()
+        self.fold.has_complete_history()
     }
 
     /// Returns a record that tells the version in force to a log or a peer.
@@ -103,7 +103,7 @@
         else {
             return Err(RecordError::Unreadable("a peer sent no checkpoint".to_owned()));
         };
-        if !self.fold.learn(AcceptedVersion { version, digest }, as_of) {
+        if !self.fold.adopt_version(AcceptedVersion { version, digest }, as_of) {
             return Ok(false);
         }
         self.accepted = text.map(|text| (record.head, text));
@@ -150,7 +150,9 @@
                 self.accepted = text.map(|text| (record.head, text));
                 Followed::InForce(accepted)
             }
-            FoldVerdict::Stale | FoldVerdict::Repeated | FoldVerdict::NoStart => Followed::Unchanged(verdict),
+            FoldVerdict::Stale | FoldVerdict::AlreadyKnown | FoldVerdict::MissingRecords => {
+                Followed::Unchanged(verdict)
+            }
         }
     }
 }
--- a/crates/reedsail_bundle/tests/bundles.rs
+++ b/crates/reedsail_bundle/tests/bundles.rs
@@ -137,7 +137,7 @@
     );
     assert_eq!(
         follower.follow(2, &propose(&winner)),
-        Followed::Unchanged(FoldVerdict::Repeated)
+        Followed::Unchanged(FoldVerdict::AlreadyKnown)
     );
     assert_eq!(
         follower.follow(3, &propose(&rival)),
@@ -181,7 +181,7 @@
     late.note_truncation(1);
     assert_eq!(
         late.follow(1, &proposal(1).to_bytes()),
-        Followed::Unchanged(FoldVerdict::NoStart)
+        Followed::Unchanged(FoldVerdict::MissingRecords)
     );
     assert!(matches!(late.follow(2, &checkpoint), Followed::InForce(accepted) if accepted.version == 2));
     assert_eq!(late.content(), early.content());
--- a/crates/reedsail_daemon/src/admin.rs
+++ b/crates/reedsail_daemon/src/admin.rs
@@ -128,7 +128,7 @@
             .with_label_values(&[name, "in_use"])
             .set(i64::from(in_use));
         for (workspace, settings) in view.workspaces() {
-            let cost = scheduler.queue().cost_ever(workspace);
+            let cost = scheduler.queue().lifetime_cost(workspace);
             if cost > 0.0 {
                 costs.push((cost, settings.name.as_str()));
             }
--- a/crates/reedsail_daemon/src/claims/writer.rs
+++ b/crates/reedsail_daemon/src/claims/writer.rs
@@ -236,5 +236,5 @@
 }
 
 fn bucket_of(key: ClaimKey) -> u64 {
-    key.made_at_unix_ms() / BUCKET_MS
+    key.created_at_unix_ms() / BUCKET_MS
 }
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -37,7 +37,7 @@
             self.mark_servers_leaving(now);
         }
         if self.ticks.is_multiple_of(COMPACT_EVERY_TICKS) {
-            self.membership.forget_old(now);
+            self.membership.remove_stale(now);
             for allocator in self.allocators.values_mut() {
                 allocator.compact();
             }
@@ -53,7 +53,7 @@
     /// Lets the allocators notice that this thread stood still, before anything is leased.
     pub(super) fn note_pause(&mut self, now: TimeMs) {
         for allocator in self.allocators.values_mut() {
-            allocator.note_pause(now);
+            allocator.detect_pause(now);
         }
     }
 
--- a/crates/reedsail_daemon/src/control/grant.rs
+++ b/crates/reedsail_daemon/src/control/grant.rs
@@ -70,7 +70,7 @@
                 let name = self.membership.name(sender).unwrap_or("unknown");
                 self.shared.events.emit(EventKind::PeerLeaving, &[("peer", name)]);
             }
-            self.membership.leave(sender);
+            self.membership.record_leaving(sender);
             self.replan();
         } else if self.membership.record_alive(sender, now) {
             self.emit_alive(sender);
@@ -144,7 +144,7 @@
         grant.services.iter().any(|(service, row)| {
             let granted: u32 = row.leases.iter().map(|lease| lease.slots).sum();
             let shares: f64 = row.shares().map(|(_, share)| share).sum();
-            let lacking = self.allocators.get(service).map_or(0.0, Allocator::lacking_slots);
+            let lacking = self.allocators.get(service).map_or(0.0, Allocator::missing_slots);
             let is_member = !row.virtual_times.is_empty();
             let due = if is_member {
                 shares
--- a/crates/reedsail_daemon/src/control/report.rs
+++ b/crates/reedsail_daemon/src/control/report.rs
@@ -131,7 +131,7 @@
             .services
             .iter()
             .filter_map(|service| view.service(*service))
-            .any(|service| service.cell.lock().has_urgent_news());
+            .any(|service| service.cell.lock().needs_urgent_report());
         urgent && self.pacer.may_send_urgent(now)
     }
 
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -48,7 +48,7 @@
             self.note_followed(&followed, record.offset);
             let says_in_force = matches!(
                 followed,
-                Followed::InForce(_) | Followed::Unchanged(FoldVerdict::Repeated)
+                Followed::InForce(_) | Followed::Unchanged(FoldVerdict::AlreadyKnown)
             );
             if says_in_force {
                 self.in_force_seen_unix_ms = record.appended_unix_ms;
--- a/crates/reedsail_daemon/src/running.rs
+++ b/crates/reedsail_daemon/src/running.rs
@@ -110,7 +110,7 @@
                 (Probe::Fifo(handle), addresses, workers)
             }
             PolicyChoice::Split { daemons } => {
-                let policy = SplitPolicy { daemons };
+                let policy = SplitPolicy { instances: daemons };
                 let (handle, addresses, workers) = launch(settings, policy, options).await?;
                 (Probe::Split(handle), addresses, workers)
             }
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -206,10 +206,10 @@
     };
     let key = ClaimKey(uuid.as_u128());
     let now_ms = Clock::unix_ms();
-    if key.made_at_unix_ms() > now_ms + KEY_AHEAD_MAX_MS {
+    if key.created_at_unix_ms() > now_ms + KEY_AHEAD_MAX_MS {
         return Err((ErrorKind::KeyFromFuture, None));
     }
-    if key.made_at_unix_ms() + retention_ms < now_ms {
+    if key.created_at_unix_ms() + retention_ms < now_ms {
         return Err((ErrorKind::KeyExpired, None));
     }
     Ok(Some(key))
--- a/crates/reedsail_scheduling/src/allocator/member.rs
+++ b/crates/reedsail_scheduling/src/allocator/member.rs
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn is_daemon(&self) -> bool {
-        self.kind == MemberKind::Daemon
+        self.kind == MemberKind::Instance
     }
 
     pub(super) fn demands(&self) -> impl Iterator<Item = (WorkspaceKey, MemberDemand)> {
--- a/crates/reedsail_scheduling/src/allocator/mod.rs
+++ b/crates/reedsail_scheduling/src/allocator/mod.rs
@@ -153,7 +153,7 @@
     /// Whoever stood still finds that members' leases have lapsed, and so would lease their slots to the first that
     /// asks, while another allocator, which the members report to by now, has renewed those leases. It settles as a
     /// new allocator does.
-    pub fn note_pause(&mut self, now: TimeMs) {
+    pub fn detect_pause(&mut self, now: TimeMs) {
         if now.since_ms(self.seen_at) >= self.config.lease_ms / PAUSE_LEASE_DIVISOR {
             self.begin_settling(now);
         }
--- a/crates/reedsail_scheduling/src/allocator/targets.rs
+++ b/crates/reedsail_scheduling/src/allocator/targets.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns how many slots the domain's daemons are to have beyond its own and borrowed ones.
-    pub fn lacking_slots(&self) -> f64 {
+    pub fn missing_slots(&self) -> f64 {
         let daemons = self.members.values().filter(|member| member.is_daemon());
         let need: f64 = daemons.map(|member| self.need_of(member)).sum();
         (need - f64::from(self.own_slots() + self.borrowed_slots())).max(0.0)
--- a/crates/reedsail_scheduling/src/claim_fold.rs
+++ b/crates/reedsail_scheduling/src/claim_fold.rs
@@ -8,7 +8,7 @@
 
 impl ClaimKey {
     /// Returns the time in the key, in milliseconds since the Unix epoch.
-    pub fn made_at_unix_ms(self) -> u64 {
+    pub fn created_at_unix_ms(self) -> u64 {
         (self.0 >> 80) as u64
     }
 }
--- a/crates/reedsail_scheduling/src/fair_queue.rs
+++ b/crates/reedsail_scheduling/src/fair_queue.rs
@@ -153,8 +153,8 @@
     }
 
     /// Returns the cost that the workspace has received here since the start.
-    pub fn cost_ever(&self, workspace: WorkspaceKey) -> f64 {
-        self.entry(workspace).map_or(0.0, |entry| entry.cost_ever)
+    pub fn lifetime_cost(&self, workspace: WorkspaceKey) -> f64 {
+        self.entry(workspace).map_or(0.0, |entry| entry.lifetime_cost)
     }
 
     pub(crate) fn floor(&self) -> f64 {
@@ -227,7 +227,7 @@
         }
         if entry.waiting.is_empty() {
             entry.backlogged_windows = 0;
-            entry.cost_at_window = entry.cost_ever;
+            entry.cost_at_window = entry.lifetime_cost;
             entry.virtual_time = entry.virtual_time.max(floor);
             entry.local_time = entry.local_time.max(local_floor);
         }
@@ -289,7 +289,7 @@
         let slots_per_weight = self.slots_per_weight;
         let entry = self.entry_mut(workspace);
         entry.cost_total += cost;
-        entry.cost_ever += cost;
+        entry.lifetime_cost += cost;
         entry.virtual_time += cost / entry.weight;
         entry.local_time += cost / entry.share_or(slots_per_weight);
     }
--- a/crates/reedsail_scheduling/src/fair_queue/workspace_queue.rs
+++ b/crates/reedsail_scheduling/src/fair_queue/workspace_queue.rs
@@ -41,8 +41,8 @@
     pub(crate) cost_total: f64,
     /// `cost_total` as it stood in the report under way.
     pub(crate) cost_reported: f64,
-    pub(super) cost_ever: f64,
-    /// `cost_ever` as the present window began.
+    pub(super) lifetime_cost: f64,
+    /// `lifetime_cost` as the present window began.
     pub(super) cost_at_window: f64,
     pub(super) rate_per_ms: f64,
     /// Windows in a row throughout which work waited.
@@ -64,7 +64,7 @@
             mean_cost: COST_FIRST_GUESS,
             cost_total: 0.0,
             cost_reported: 0.0,
-            cost_ever: 0.0,
+            lifetime_cost: 0.0,
             cost_at_window: 0.0,
             rate_per_ms: 0.0,
             backlogged_windows: 0,
@@ -117,8 +117,8 @@
     }
 
     pub(super) fn measure_rate(&mut self, window_ms: u64) {
-        let rate = (self.cost_ever - self.cost_at_window) / window_ms as f64;
-        self.cost_at_window = self.cost_ever;
+        let rate = (self.lifetime_cost - self.cost_at_window) / window_ms as f64;
+        self.cost_at_window = self.lifetime_cost;
         if self.waiting.is_empty() {
             self.backlogged_windows = 0;
             self.rate_per_ms = 0.0;
--- a/crates/reedsail_scheduling/src/lib.rs
+++ b/crates/reedsail_scheduling/src/lib.rs
@@ -8,10 +8,9 @@
 //! |---|---|
 //! | `fair_queue`, `scheduler`, `preemption`, `share` | which request of which workspace runs next |
 //! | `allocator`, `slot_lease`, `membership`, `pacer` | how the fleet's slots are leased to instances |
-//! | `accept_fold`, `claim_fold` | which bundle is in force, who may run a keyed call |
+//! | `rollout_fold`, `claim_fold` | which bundle is in force, who may run a keyed call |
 //! | `affinity`, `health`, `rate_limit`, `retry_budget` | bounds and hints for one instance |
 
-mod accept_fold;
 mod affinity;
 mod allocator;
 mod claim_fold;
@@ -23,16 +22,12 @@
 mod preemption;
 mod rate_limit;
 mod retry_budget;
+mod rollout_fold;
 mod scheduler;
 mod share;
 mod slot_lease;
 mod workspace_table;
 
-pub use accept_fold::AcceptFold;
-pub use accept_fold::AcceptedVersion;
-pub use accept_fold::Digest;
-pub use accept_fold::FoldVerdict;
-pub use accept_fold::RolloutRecord;
 pub use affinity::AffinityTable;
 pub use allocator::Allocator;
 pub use allocator::AllocatorConfig;
@@ -59,6 +54,11 @@
 pub use preemption::PreemptFlag;
 pub use rate_limit::RateLimit;
 pub use retry_budget::RetryBudget;
+pub use rollout_fold::AcceptedVersion;
+pub use rollout_fold::Digest;
+pub use rollout_fold::FoldVerdict;
+pub use rollout_fold::RolloutFold;
+pub use rollout_fold::RolloutRecord;
 pub use scheduler::Dispatch;
 pub use scheduler::Running;
 pub use scheduler::Scheduler;
--- a/crates/reedsail_scheduling/src/membership.rs
+++ b/crates/reedsail_scheduling/src/membership.rs
@@ -24,7 +24,7 @@
     /// It said, or the platform says, that it is leaving.
     Leaving,
     /// It failed to answer a moment ago, or nobody has heard of it for long.
-    Away,
+    Unreachable,
 }
 
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
     }
 
     /// Records that a daemon said it is leaving.
-    pub fn leave(&mut self, daemon: NameHash) {
+    pub fn record_leaving(&mut self, daemon: NameHash) {
         if let Some(entry) = self.entries.get_mut(&daemon) {
             entry.leaving = true;
         }
@@ -110,7 +110,7 @@
     /// Returns what is known of a daemon.
     pub fn presence(&self, daemon: NameHash, now: TimeMs) -> Presence {
         let Some(entry) = self.entries.get(&daemon) else {
-            return Presence::Away;
+            return Presence::Unreachable;
         };
         if entry.leaving {
             return Presence::Leaving;
@@ -119,7 +119,7 @@
         if known && entry.suspect_until <= now {
             Presence::Alive
         } else {
-            Presence::Away
+            Presence::Unreachable
         }
     }
 
@@ -153,7 +153,7 @@
     pub fn suspects_to_probe(&self, domain: NameHash, now: TimeMs) -> Vec<NameHash> {
         let holders = self.lease_holders(domain, now).into_iter();
         let mut suspects: Vec<NameHash> = holders
-            .filter(|name| self.presence(*name, now) == Presence::Away)
+            .filter(|name| self.presence(*name, now) == Presence::Unreachable)
             .collect();
         suspects.sort();
         suspects
@@ -195,7 +195,7 @@
     }
 
     /// Forgets daemons that nobody has heard of for long.
-    pub fn forget_old(&mut self, now: TimeMs) {
+    pub fn remove_stale(&mut self, now: TimeMs) {
         self.entries
             .retain(|_, entry| entry.listed || now < entry.alive_until);
     }
--- a/crates/reedsail_scheduling/src/policy.rs
+++ b/crates/reedsail_scheduling/src/policy.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct SplitPolicy {
     /// How many daemons share each backend server.
-    pub daemons: u32,
+    pub instances: u32,
 }
 
 impl SharePolicy for SplitPolicy {
@@ -55,7 +55,7 @@
     const LEASED: bool = false;
 
     fn fixed_slots(&self, capacity: u32) -> u32 {
-        (capacity / self.daemons.max(1)).max(1)
+        (capacity / self.instances.max(1)).max(1)
     }
 
     fn rank(&self, class: Class, deadline: TimeMs, sequence: u64) -> (u8, u64, u64) {
--- a/crates/reedsail_scheduling/src/accept_fold.rs
+++ b/crates/reedsail_scheduling/src/rollout_fold.rs
@@ -45,9 +45,9 @@
     /// A rival came first, or the base is not the one in force.
     Stale,
     /// The record says what is known already.
-    Repeated,
+    AlreadyKnown,
     /// Records are missing, so nothing can be said yet; a checkpoint or a peer will help.
-    NoStart,
+    MissingRecords,
 }
 
 /// Folds the records of the bundle stream in log order.
@@ -57,21 +57,21 @@
 /// after a gap may well be a rival that lost, and a checkpoint written by a daemon that lagged may
 /// be older than a proposal before it.
 #[derive(Clone, Debug)]
-pub struct AcceptFold {
+pub struct RolloutFold {
     in_force: Option<AcceptedVersion>,
     /// Whether every record since a sure start was seen.
-    is_sure: bool,
+    has_complete_history: bool,
     next_offset: u64,
     /// From here on every record was seen.
     seen_from: u64,
     last_proposal: Option<u64>,
 }
 
-impl Default for AcceptFold {
+impl Default for RolloutFold {
     fn default() -> Self {
         Self {
             in_force: None,
-            is_sure: true,
+            has_complete_history: true,
             next_offset: 0,
             seen_from: 0,
             last_proposal: None,
@@ -79,7 +79,7 @@
     }
 }
 
-impl AcceptFold {
+impl RolloutFold {
     /// Returns the version in force, if any is known.
     pub fn in_force(&self) -> Option<AcceptedVersion> {
         self.in_force
@@ -91,14 +91,14 @@
     }
 
     /// Tells whether every record since a sure start was seen.
-    pub fn is_sure(&self) -> bool {
-        self.is_sure
+    pub fn has_complete_history(&self) -> bool {
+        self.has_complete_history
     }
 
     /// Takes over a version that somebody sure knows as of an offset; an older one changes nothing.
     ///
     /// Returns `true` if the version is news.
-    pub fn learn(&mut self, accepted: AcceptedVersion, as_of: u64) -> bool {
+    pub fn adopt_version(&mut self, accepted: AcceptedVersion, as_of: u64) -> bool {
         if !self.covers(as_of) {
             return false;
         }
@@ -112,7 +112,7 @@
             self.in_force = Some(accepted);
         }
         // Whoever speaks is sure, so the higher of both versions is the one in force.
-        self.is_sure = true;
+        self.has_complete_history = true;
         is_new
     }
 
@@ -127,14 +127,14 @@
             self.next_offset = first_offset;
             self.seen_from = first_offset;
             self.last_proposal = None;
-            self.is_sure = false;
+            self.has_complete_history = false;
         }
     }
 
     /// Folds one record.
     pub fn fold(&mut self, offset: u64, record: RolloutRecord) -> FoldVerdict {
         if offset < self.next_offset {
-            return FoldVerdict::Repeated;
+            return FoldVerdict::AlreadyKnown;
         }
         self.note_truncation(offset);
         self.next_offset = offset + 1;
@@ -164,27 +164,27 @@
     }
 
     fn fold_checkpoint(&mut self, accepted: AcceptedVersion, as_of: u64) -> FoldVerdict {
-        if self.is_sure {
-            return FoldVerdict::Repeated;
+        if self.has_complete_history {
+            return FoldVerdict::AlreadyKnown;
         }
         // The checkpoint itself lies before `next_offset` already and is no proposal.
         if as_of >= self.next_offset || !self.covers(as_of) {
-            return FoldVerdict::NoStart;
+            return FoldVerdict::MissingRecords;
         }
-        if self.learn(accepted, as_of) {
+        if self.adopt_version(accepted, as_of) {
             FoldVerdict::CaughtUp(accepted)
         } else {
-            FoldVerdict::Repeated
+            FoldVerdict::AlreadyKnown
         }
     }
 
     fn fold_proposal(&mut self, base_version: u32, base_digest: Digest, digest: Digest) -> FoldVerdict {
-        if !self.is_sure {
-            return FoldVerdict::NoStart;
+        if !self.has_complete_history {
+            return FoldVerdict::MissingRecords;
         }
         let version = base_version + 1;
         match self.in_force {
-            Some(known) if known.version == version && known.digest == digest => FoldVerdict::Repeated,
+            Some(known) if known.version == version && known.digest == digest => FoldVerdict::AlreadyKnown,
             Some(known) if known.version != base_version || known.digest != base_digest => FoldVerdict::Stale,
             None if base_version != 0 => FoldVerdict::Stale,
             _ => {
--- a/crates/reedsail_scheduling/src/scheduler.rs
+++ b/crates/reedsail_scheduling/src/scheduler.rs
@@ -200,7 +200,7 @@
     ///
     /// # Errors
     /// Hands the slot back if no other server has a free one.
-    pub fn restart(
+    pub fn move_to_untried_server(
         &mut self,
         running: Running,
         tried: &[ServerKey],
@@ -339,7 +339,7 @@
 
     /// Tells whether the allocator ought to know at once: work waits here without a free slot, or
     /// slots that it wants back have become free.
-    pub fn has_urgent_news(&self) -> bool {
+    pub fn needs_urgent_report(&self) -> bool {
         let starved_anew = self.starved && self.queue.queued() > 0 && !self.starved_reported;
         let (_, in_use) = self.slot_counts();
         starved_anew || in_use + SLOTS_BACK_MIN <= self.slots_wanted_back
--- a/crates/reedsail_scheduling/src/scheduler/leases.rs
+++ b/crates/reedsail_scheduling/src/scheduler/leases.rs
@@ -48,7 +48,7 @@
             entry.cost_reported = entry.cost_total;
         }
         ServiceReport {
-            kind: MemberKind::Daemon,
+            kind: MemberKind::Instance,
             session,
             own_slots: 0,
             base,
--- a/crates/reedsail_scheduling/src/slot_lease.rs
+++ b/crates/reedsail_scheduling/src/slot_lease.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberKind {
     /// A daemon of the allocator's own failure domain.
-    Daemon,
+    Instance,
     /// The allocator of the same service in another failure domain.
     Domain,
 }
--- a/crates/reedsail_scheduling/tests/allocator.rs
+++ b/crates/reedsail_scheduling/tests/allocator.rs
@@ -27,7 +27,7 @@
 
 fn report(held: &[(u16, u32, u32)], demands: &[(u32, u32, u32, u32)]) -> ServiceReport {
     ServiceReport {
-        kind: MemberKind::Daemon,
+        kind: MemberKind::Instance,
         session: 1,
         own_slots: 0,
         base: 0.0,
--- a/crates/reedsail_scheduling/tests/folds_exhaustive.rs
+++ b/crates/reedsail_scheduling/tests/folds_exhaustive.rs
@@ -3,7 +3,6 @@
 
 use std::collections::VecDeque;
 
-use reedsail_scheduling::AcceptFold;
 use reedsail_scheduling::AcceptedVersion;
 use reedsail_scheduling::ClaimFold;
 use reedsail_scheduling::ClaimKey;
@@ -11,6 +10,7 @@
 use reedsail_scheduling::ClaimState;
 use reedsail_scheduling::Digest;
 use reedsail_scheduling::Nonce;
+use reedsail_scheduling::RolloutFold;
 use reedsail_scheduling::RolloutRecord;
 
 /// The length of the bundle histories; every shorter one is a beginning of these.
@@ -58,9 +58,9 @@
     log: VecDeque<RolloutRecord>,
     first_offset: u64,
     /// Reads every record at once.
-    sure: AcceptFold,
+    sure: RolloutFold,
     /// Reads when it is told to, and may start again.
-    other: AcceptFold,
+    other: RolloutFold,
     history: Vec<AcceptedVersion>,
     last_proposal: Option<RolloutRecord>,
     /// What an up-to-date daemon would have written before the last record.
@@ -131,11 +131,11 @@
                 }
                 self.first_offset += 1;
             }
-            BundleStep::Restart => self.other = AcceptFold::default(),
+            BundleStep::Restart => self.other = RolloutFold::default(),
             BundleStep::Read => self.read(),
             BundleStep::AskPeer => match self.sure.in_force() {
                 Some(known) => {
-                    self.other.learn(known, self.sure.next_offset());
+                    self.other.adopt_version(known, self.sure.next_offset());
                 }
                 None => return false,
             },
--- a/crates/reedsail_scheduling/tests/lease_handover.rs
+++ b/crates/reedsail_scheduling/tests/lease_handover.rs
@@ -176,7 +176,7 @@
         let daemon = &mut self.daemons[index];
         daemon.scheduler.tick(now);
         if let Some(allocator) = &mut daemon.allocator {
-            allocator.note_pause(now);
+            allocator.detect_pause(now);
             allocator.expire(now);
         }
         self.end_idle_allocator(index);
@@ -265,7 +265,7 @@
             server: SERVER,
             slots: SLOTS,
         }];
-        allocator.note_pause(now);
+        allocator.detect_pause(now);
         allocator.set_servers(servers, holders);
         allocator.set_workspaces(workspaces());
         allocator.on_report(from, report, now)
--- a/crates/reedsail_scheduling/tests/scheduler.rs
+++ b/crates/reedsail_scheduling/tests/scheduler.rs
@@ -82,7 +82,7 @@
     scheduler.submit(request(0, 1), NOW).unwrap();
     // One call, no report in between: the first token waits for no other daemon.
     assert_eq!(scheduler.dispatch(NOW).len(), 1);
-    assert!(!scheduler.has_urgent_news());
+    assert!(!scheduler.needs_urgent_report());
 }
 
 #[test]
@@ -259,12 +259,12 @@
     let running = scheduler.dispatch(NOW).remove(0).running;
     let first = running.server;
     let moved = scheduler
-        .restart(running, &[first], NOW)
+        .move_to_untried_server(running, &[first], NOW)
         .expect("the other server is free");
     assert_ne!(moved.server, first);
     let both = [first, moved.server];
     let stuck = scheduler
-        .restart(moved, &both, NOW)
+        .move_to_untried_server(moved, &both, NOW)
         .expect_err("every server was tried");
     scheduler.finish(stuck, 1.0, true);
     assert_eq!(scheduler.slot_counts().1, 0, "no slot is left in use");
--- a/crates/reedsail_wire/src/report.rs
+++ b/crates/reedsail_wire/src/report.rs
@@ -45,7 +45,7 @@
 
 fn write_service(report: &ServiceReport, directory: &Directory, mut builder: service_report::Builder<'_>) {
     builder.set_kind(match report.kind {
-        MemberKind::Daemon => 0,
+        MemberKind::Instance => 0,
         MemberKind::Domain => 1,
     });
     builder.set_session(report.session);
@@ -103,7 +103,7 @@
 
 fn read_service(reader: service_report::Reader<'_>, directory: &Directory) -> Result<ServiceReport, Error> {
     let kind = match reader.get_kind() {
-        0 => MemberKind::Daemon,
+        0 => MemberKind::Instance,
         1 => MemberKind::Domain,
         other => return Err(Error::failed(format!("{other} is no kind of member"))),
     };
--- a/crates/reedsail_wire/tests/golden.rs
+++ b/crates/reedsail_wire/tests/golden.rs
@@ -222,7 +222,7 @@
     let workspace = directory.workspaces.find(NameHash::of("labska")).unwrap();
     let server = directory.servers.find(NameHash::of("engine-1")).unwrap();
     let row = ServiceReport {
-        kind: MemberKind::Daemon,
+        kind: MemberKind::Instance,
         session: 0x3131,
         own_slots: 0x3232,
         base: 1234.5,
--- a/crates/reedsail_wire/tests/wire.rs
+++ b/crates/reedsail_wire/tests/wire.rs
@@ -96,7 +96,7 @@
         services: vec![(
             directory.services.find(NameHash::of("assistant-llm")).unwrap(),
             ServiceReport {
-                kind: MemberKind::Daemon,
+                kind: MemberKind::Instance,
                 session: 5,
                 own_slots: 0,
                 base: 1234.5,
