--- a/crates/reedsail_scheduling/src/allocator/domain.rs
+++ b/crates/reedsail_scheduling/src/allocator/domain.rs
@@ -1,5 +1,5 @@
-//! How allocators of one service in different failure domains tell each other what was served,
-//! and lend each other spare slots.
+//! How the allocators of one service in different failure domains exchange received costs and lend each other
+//! spare slots.
 
 use std::collections::HashMap;
 
@@ -15,12 +15,12 @@
 use crate::ServiceReport;
 use crate::SlotRow;
 
-/// What this allocator told, and borrowed from, the allocator of another domain.
+/// What this allocator reported to, and borrowed from, the allocator of another domain.
 #[derive(Debug, Default)]
 pub(super) struct DomainLink {
     session: u32,
-    /// Domain costs as they stood when the session began; only what came after is reported.
-    costs_before: HashMap<WorkspaceKey, f64>,
+    /// The domain's costs at the start of the session; only later costs are reported.
+    costs_at_session_start: HashMap<WorkspaceKey, f64>,
     costs_reported: HashMap<WorkspaceKey, f64>,
     borrowed: HashMap<ServerKey, u32>,
     borrowed_deadline: TimeMs,
@@ -37,14 +37,15 @@
 impl Allocator {
     /// Begins a session with another domain's allocator that does not know this one's counters.
     pub fn begin_domain_session(&mut self, to: NameHash, session: u32) {
-        let costs_before = self.domain_costs.clone();
+        let costs_at_session_start = self.domain_costs.clone();
         let link = self.links.entry(to).or_default();
         link.session = session;
-        link.costs_reported.clone_from(&costs_before);
-        link.costs_before = costs_before;
+        link.costs_reported.clone_from(&costs_at_session_start);
+        link.costs_at_session_start = costs_at_session_start;
     }
 
-    /// Gives up a link whose other end does not answer: what it lent is no longer passed on.
+    /// Drops the slots borrowed from a domain whose allocator does not answer; they are no longer leased to
+    /// members.
     pub fn forget_borrowed(&mut self, from: NameHash) {
         if let Some(link) = self.links.get_mut(&from) {
             link.borrowed.clear();
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Writes the report to another domain's allocator.
+    /// Creates the report to another domain's allocator.
     pub fn domain_report(&mut self, to: NameHash, now: TimeMs) -> ServiceReport {
         self.expire(now);
         let slots = self.borrowed_slot_rows(to);
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes over the slots that another domain's allocator lends.
+    /// Applies the slots that another domain's allocator lends.
     pub fn apply_domain_grant(&mut self, from: NameHash, grant: &ServiceGrant, lease_deadline: TimeMs) {
         let link = self.links.entry(from).or_default();
         link.borrowed = grant
@@ -97,8 +98,8 @@
         self.borrowed_rows().map(|(_, slots)| slots).sum()
     }
 
-    /// Returns what the domain's daemons hold of the other domain's servers, beside what is
-    /// borrowed and not passed on.
+    /// Returns the slots of the other domain's servers that this domain's instances hold, and those borrowed
+    /// but not leased to them.
     fn borrowed_slot_rows(&self, from: NameHash) -> Vec<SlotRow> {
         let Some(link) = self.links.get(&from) else {
             return Vec::new();
@@ -107,7 +108,7 @@
             .borrowed
             .iter()
             .map(|(server, slots)| {
-                let in_use = self.daemons_in_use(*server);
+                let in_use = self.in_use_by_instances(*server);
                 SlotRow {
                     server: *server,
                     held: (*slots).max(in_use),
@@ -119,10 +120,10 @@
         rows
     }
 
-    fn daemons_in_use(&self, server: ServerKey) -> u32 {
+    fn in_use_by_instances(&self, server: ServerKey) -> u32 {
         self.members
             .values()
-            .filter(|member| member.is_daemon())
+            .filter(|member| member.is_instance())
             .filter_map(|member| member.slots.get(&server))
             .map(|slots| slots.in_use)
             .sum()
@@ -130,7 +131,7 @@
 
     fn domain_demands(&self, to: NameHash) -> Vec<DemandRow> {
         let mut rows: HashMap<WorkspaceKey, (u32, u32)> = HashMap::new();
-        for member in self.members.values().filter(|member| member.is_daemon()) {
+        for member in self.members.values().filter(|member| member.is_instance()) {
             for (workspace, demand) in member.demands() {
                 let row = rows.entry(workspace).or_default();
                 row.0 += demand.queued;
@@ -148,12 +149,12 @@
             .into_iter()
             .map(|(workspace, (queued, running))| {
                 let cost = self.domain_costs.get(&workspace).copied().unwrap_or(0.0);
-                let before = link.and_then(|link| link.costs_before.get(&workspace)).copied();
+                let cost_before = link.and_then(|link| link.costs_at_session_start.get(&workspace)).copied();
                 DemandRow {
                     workspace,
                     queued,
                     running,
-                    cost_total: (cost - before.unwrap_or(0.0)) as u64 as u32,
+                    cost_total: (cost - cost_before.unwrap_or(0.0)) as u64 as u32,
                     lead: self.lead_of(workspace),
                 }
             })
@@ -162,19 +163,19 @@
         demands
     }
 
-    /// Bounds every lead as a domain is met, or met again after a cut.
+    /// Clamps every lead when a domain connects or reconnects.
     ///
-    /// What was served on the other side of a cut was not charged here, and the reverse; without
-    /// the bound, whoever was served during the cut would starve until the others are level.
+    /// During a partition, neither side charges the cost served on the other. Without the clamp, a workspace
+    /// served during the partition would starve until the others catch up.
     pub(super) fn clamp_leads(&mut self, report: &ServiceReport) {
-        let most = self.config.rejoin_clamp_ms as f64 * self.fair_lead_per_ms(report);
+        let lead_max = self.config.rejoin_clamp_ms as f64 * self.fair_lead_per_ms(report);
         let floor = self.floor;
         for entry in self.workspaces.values_mut() {
-            entry.virtual_time = entry.virtual_time.min(floor + most);
+            entry.virtual_time = entry.virtual_time.min(floor + lead_max);
         }
     }
 
-    /// Returns how much virtual time a backlogged workspace gains a millisecond in a fair fleet.
+    /// Returns the virtual time that a backlogged workspace gains per millisecond in a fair fleet.
     fn fair_lead_per_ms(&self, report: &ServiceReport) -> f64 {
         let weights: f64 = self
             .workspaces
@@ -182,8 +183,8 @@
             .filter(|(_, entry)| entry.is_constrained)
             .map(|(workspace, _)| self.weight(*workspace))
             .sum();
-        let own: u32 = self.own_servers.iter().map(|server| server.slots).sum();
-        let slots = f64::from(own + report.own_slots);
+        let own_slots: u32 = self.own_servers.iter().map(|server| server.slots).sum();
+        let slots = f64::from(own_slots + report.own_slots);
         self.yield_per_ms * slots / weights.max(1.0)
     }
 }
--- a/crates/reedsail_scheduling/src/allocator/member.rs
+++ b/crates/reedsail_scheduling/src/allocator/member.rs
@@ -1,4 +1,4 @@
-//! What an allocator knows of one member.
+//! An allocator's state for one member.
 
 use std::collections::HashMap;
 
@@ -29,7 +29,7 @@
     pub(super) granted: u32,
 }
 
-/// One member's last report, what it was granted since, and its cost counters.
+/// One member's last report, the slots granted since, and its cost counters.
 #[derive(Debug)]
 pub(super) struct Member {
     kind: MemberKind,
@@ -45,7 +45,7 @@
 }
 
 impl Member {
-    /// Meets a member; what its counters show already is not charged.
+    /// Creates a member; the costs already in its counters are not charged.
     pub(super) fn new(report: &ServiceReport, now: TimeMs) -> Self {
         let counters = report
             .demands
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn is_daemon(&self) -> bool {
+    pub(super) fn is_instance(&self) -> bool {
         self.kind == MemberKind::Instance
     }
 
@@ -92,14 +92,15 @@
         f64::from(in_use) * now.since_ms(self.reported_at) as f64
     }
 
-    /// Moves the counters on and returns what each workspace is to be charged.
+    /// Advances the counters and returns the cost to charge to each workspace.
     pub(super) fn take_charges(&mut self, report: &ServiceReport) -> Vec<(WorkspaceKey, f64)> {
         let mut charges = Vec::new();
         for demand in &report.demands {
             let counter = self.counters.entry(demand.workspace).or_insert(0);
             let cost = demand.cost_total.wrapping_sub(*counter);
             *counter = demand.cost_total;
-            // A counter that went back is a stray report of the past, not four billion units.
+            // A counter that went backwards comes from a stale report; it is not a cost of four billion
+            // units.
             if cost > 0 && cost < u32::MAX / 2 {
                 charges.push((demand.workspace, f64::from(cost)));
             }
@@ -107,7 +108,7 @@
         charges
     }
 
-    /// Takes over everything but the counters.
+    /// Applies everything in the report except the counters.
     pub(super) fn update(&mut self, report: &ServiceReport, now: TimeMs, lease_deadline: TimeMs) {
         self.reported_at = now;
         self.lease_deadline = lease_deadline;
--- a/crates/reedsail_scheduling/src/allocator/mod.rs
+++ b/crates/reedsail_scheduling/src/allocator/mod.rs
@@ -1,8 +1,8 @@
 //! The allocator of one service in one failure domain: leases slots by weighted, fleet-wide need.
 //!
-//! It keeps nothing that its members could not tell it again: a new allocator learns virtual
-//! times, held slots and demand from their next reports, and leases nothing new until all of them
-//! have reported or every lease that it cannot know of has lapsed.
+//! It keeps only state that its members can report again. A new allocator learns virtual times, held slots
+//! and demand from their next reports. It leases no new slots until all of them have reported or every lease
+//! unknown to it has expired.
 
 mod domain;
 mod member;
@@ -25,25 +25,25 @@
 use domain::DomainLink;
 use member::Member;
 
-/// Targets are computed afresh at most this often.
+/// Targets of at least this age are recomputed; younger ones are reused.
 const TARGETS_AGE_MAX_MS: u64 = 100;
-/// The weight of the newest report in the running mean of what a slot yields.
+/// The weight of the newest report in the moving average of a slot's yield.
 const YIELD_SAMPLE_WEIGHT: f64 = 0.05;
-/// A control thread that was not there for a lease divided by this stood still. Members report twice in a lease, so
-/// with four none has moved away and lapsed here after a shorter pause; with one, 9 of 8 slots were leased on seed 27
-/// of `tests/lease_handover.rs`.
+/// A control thread that was inactive for the lease divided by this was paused. Members report twice per
+/// lease. With four, no member can switch allocators and have its lease expire here within a shorter pause;
+/// with one, 9 of 8 slots were leased on seed 27 of `tests/lease_handover.rs`.
 const PAUSE_LEASE_DIVISOR: u64 = 4;
-/// What a slot is taken to yield before anything was measured, in cost units a millisecond.
-const YIELD_FIRST_GUESS: f64 = 0.02;
+/// The assumed yield of a slot before the first measurement, in cost units per millisecond.
+const YIELD_INITIAL_PER_MS: f64 = 0.02;
 
 /// Settings of an allocator.
 #[derive(Clone, Copy, Debug)]
 pub struct AllocatorConfig {
     /// How long a lease lasts, counted from the report that it answers.
     pub lease_ms: u64,
-    /// Over which time a workspace that is behind is brought level.
+    /// The time over which a workspace that is behind catches up.
     pub horizon_ms: u64,
-    /// By how many seconds of its fair part a workspace may lead after a cut is mended.
+    /// The maximum lead of a workspace after a partition heals, as a time at its fair share.
     pub rejoin_clamp_ms: u64,
 }
 
@@ -62,7 +62,7 @@
 pub struct ServerCapacity {
     /// The backend server.
     pub server: ServerKey,
-    /// How many requests it runs at once; zero once it is leaving.
+    /// The number of requests that it runs at once; zero while it is leaving.
     pub slots: u32,
 }
 
@@ -71,40 +71,40 @@
     virtual_time: f64,
     /// Whether it wanted any slot at the last division.
     is_active: bool,
-    /// Whether it wanted more slots than the last division gave it.
+    /// Whether it wanted more slots than it got at the last division.
     is_constrained: bool,
 }
 
-/// See the module's text.
+/// Leases the slots of one service in one failure domain; see the module documentation.
 #[derive(Debug)]
 pub struct Allocator {
     config: AllocatorConfig,
     settle_deadline: TimeMs,
-    /// When its control thread last noticed that it does not stand still.
-    seen_at: TimeMs,
-    daemons_expected: usize,
+    /// When the control thread last checked for a pause.
+    last_tick_at: TimeMs,
+    instances_expected: usize,
     table: Arc<WorkspaceTable>,
     own_servers: Vec<ServerCapacity>,
     members: HashMap<NameHash, Member>,
     links: HashMap<NameHash, DomainLink>,
     workspaces: HashMap<WorkspaceKey, WorkspaceEntry>,
-    /// What this domain's daemons were charged, since this allocator began.
+    /// The cost charged to this domain's instances since this allocator started.
     domain_costs: HashMap<WorkspaceKey, f64>,
     floor: f64,
     yield_per_ms: f64,
     targets_at: Option<TimeMs>,
-    /// Of each workspace's demand, the part that is to run now.
-    shares: HashMap<WorkspaceKey, f64>,
+    /// The fraction of each workspace's demand that may run now.
+    granted_fractions: HashMap<WorkspaceKey, f64>,
 }
 
 impl Allocator {
-    /// Makes an allocator that knows nothing yet.
+    /// Creates an allocator without any state from members.
     pub fn new(config: AllocatorConfig, now: TimeMs) -> Self {
         Self {
             config,
             settle_deadline: now.plus_ms(config.lease_ms),
-            seen_at: now,
-            daemons_expected: usize::MAX,
+            last_tick_at: now,
+            instances_expected: usize::MAX,
             table: Arc::default(),
             own_servers: Vec::new(),
             members: HashMap::new(),
@@ -112,24 +112,25 @@
             workspaces: HashMap::new(),
             domain_costs: HashMap::new(),
             floor: 0.0,
-            yield_per_ms: YIELD_FIRST_GUESS,
+            yield_per_ms: YIELD_INITIAL_PER_MS,
             targets_at: None,
-            shares: HashMap::new(),
+            granted_fractions: HashMap::new(),
         }
     }
 
-    /// Takes over the backend servers of the domain, and how many daemons may hold leases in it, this one included.
-    pub fn set_servers(&mut self, servers: Vec<ServerCapacity>, daemons_expected: usize) {
+    /// Sets the backend servers of the domain and the number of instances that may hold leases in it,
+    /// including this one.
+    pub fn set_servers(&mut self, servers: Vec<ServerCapacity>, instances_expected: usize) {
         self.own_servers = servers;
-        self.daemons_expected = daemons_expected;
+        self.instances_expected = instances_expected;
     }
 
-    /// Takes over the workspaces' weights.
+    /// Sets the workspaces' weights.
     pub fn set_workspaces(&mut self, table: Arc<WorkspaceTable>) {
         self.table = table;
     }
 
-    /// Takes over how long leases last; longer where reports are spaced further apart.
+    /// Sets how long leases last; leases are longer when reports are less frequent.
     pub fn set_lease_ms(&mut self, lease_ms: u64) {
         self.config.lease_ms = lease_ms;
     }
@@ -137,7 +138,7 @@
     /// Answers a member's report.
     pub fn on_report(&mut self, from: NameHash, report: &ServiceReport, now: TimeMs) -> ServiceGrant {
         self.expire(now);
-        self.take_in(from, report, now);
+        self.record_report(from, report, now);
         self.refresh_targets(now);
         let leases = self.lease_slots(from, now);
         ServiceGrant {
@@ -147,40 +148,40 @@
         }
     }
 
-    /// Notices whether the control thread stood still: to be called before anything else at each of its ticks and
-    /// reports.
+    /// Detects whether the control thread was paused. Must be called first at each of its ticks and reports.
     ///
-    /// Whoever stood still finds that members' leases have lapsed, and so would lease their slots to the first that
-    /// asks, while another allocator, which the members report to by now, has renewed those leases. It settles as a
-    /// new allocator does.
+    /// After a pause, the members' leases have expired here, so their slots would go to the first member that
+    /// reports. Meanwhile, another allocator, to which the members now report, may have renewed those leases.
+    /// After a pause, the allocator therefore settles like a new one.
     pub fn detect_pause(&mut self, now: TimeMs) {
-        if now.since_ms(self.seen_at) >= self.config.lease_ms / PAUSE_LEASE_DIVISOR {
+        if now.since_ms(self.last_tick_at) >= self.config.lease_ms / PAUSE_LEASE_DIVISOR {
             self.begin_settling(now);
         }
-        self.seen_at = now;
+        self.last_tick_at = now;
     }
 
-    /// Leases nothing new for a lease and a half, unless every daemon that may hold leases has reported. To be called
-    /// as well for as long as another daemon has the role: its leases bind this one when the role comes back, and it
-    /// goes on renewing them until it hears from this one, which takes less than half a lease.
+    /// Leases no new slots for a lease and a half, unless every instance that may hold leases has reported.
+    /// Must also be called while another instance has the role. That instance's leases bind this allocator
+    /// when the role returns, and it keeps renewing them until this instance contacts it, which takes less
+    /// than half a lease.
     pub fn begin_settling(&mut self, now: TimeMs) {
         let lease_ms = self.config.lease_ms;
         self.settle_deadline = now.plus_ms(lease_ms + lease_ms / 2);
     }
 
-    /// Forgets members whose lease has lapsed, and borrowed slots past their deadline.
+    /// Removes members whose lease has expired, and borrowed slots past their deadline.
     pub fn expire(&mut self, now: TimeMs) {
-        let before = self.members.len();
+        let members_before = self.members.len();
         self.members.retain(|_, member| member.lease_deadline > now);
         for link in self.links.values_mut() {
             link.expire(now);
         }
-        if self.members.len() != before {
+        if self.members.len() != members_before {
             self.targets_at = None;
         }
     }
 
-    /// Forgets a member that said it is leaving or was seen to die.
+    /// Removes a member that announced that it is leaving or that was detected as dead.
     pub fn remove_member(&mut self, member: NameHash) {
         self.members.remove(&member);
         self.targets_at = None;
@@ -191,24 +192,24 @@
         self.virtual_time(workspace) - self.floor
     }
 
-    /// Returns the floor: no workspace that becomes backlogged starts below it.
+    /// Returns the virtual-time floor: no workspace that becomes backlogged starts below it.
     pub fn floor(&self) -> f64 {
         self.floor
     }
 
-    /// Returns how many members hold or may hold leases.
+    /// Returns the number of members that hold or may hold leases.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Tells whether no member, here or in another domain, wants any slot.
+    /// Returns whether no member, in this domain or another, wants any slot.
     pub fn is_idle(&self) -> bool {
         self.members
             .values()
             .all(|member| member.demands().next().is_none())
     }
 
-    /// Drops idle workspaces that would start at the floor anyway; called now and then.
+    /// Drops idle workspaces that would start at the floor anyway; called periodically.
     pub fn compact(&mut self) {
         let floor = self.floor;
         self.workspaces
@@ -216,8 +217,8 @@
     }
 
     fn is_settled(&self, now: TimeMs) -> bool {
-        let daemons = self.members.values().filter(|member| member.is_daemon()).count();
-        now >= self.settle_deadline || daemons >= self.daemons_expected
+        let instances = self.members.values().filter(|member| member.is_instance()).count();
+        now >= self.settle_deadline || instances >= self.instances_expected
     }
 
     fn virtual_time(&self, workspace: WorkspaceKey) -> f64 {
@@ -239,13 +240,13 @@
         })
     }
 
-    fn take_in(&mut self, from: NameHash, report: &ServiceReport, now: TimeMs) {
-        let known = self
+    fn record_report(&mut self, from: NameHash, report: &ServiceReport, now: TimeMs) {
+        let is_known_session = self
             .members
             .get(&from)
             .is_some_and(|member| member.session == report.session);
-        if !known {
-            self.adopt(from, report, now);
+        if !is_known_session {
+            self.add_member(from, report, now);
         }
         self.charge_costs(from, report, now);
         let lease_deadline = now.plus_ms(self.config.lease_ms);
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Meets a member, or a new session of one: its counters and view become the starting point.
-    fn adopt(&mut self, from: NameHash, report: &ServiceReport, now: TimeMs) {
+    /// Adds a member, or a new session of one. Its counters and virtual times become the starting point.
+    fn add_member(&mut self, from: NameHash, report: &ServiceReport, now: TimeMs) {
         self.targets_at = None;
         self.members.insert(from, Member::new(report, now));
         if report.kind == MemberKind::Domain {
@@ -264,9 +265,9 @@
         }
         self.floor = self.floor.max(report.base);
         for demand in &report.demands {
-            let seen = report.base + demand.lead;
+            let reported_time = report.base + demand.lead;
             let entry = self.entry_mut(demand.workspace);
-            entry.virtual_time = entry.virtual_time.max(seen);
+            entry.virtual_time = entry.virtual_time.max(reported_time);
         }
     }
 
@@ -276,16 +277,16 @@
         };
         let slot_ms = member.slot_ms_since_report(now);
         let charges = member.take_charges(report);
-        let is_daemon = member.is_daemon();
+        let is_instance = member.is_instance();
         let total: f64 = charges.iter().map(|(_, cost)| cost).sum();
-        if is_daemon && slot_ms > 0.0 {
+        if is_instance && slot_ms > 0.0 {
             self.yield_per_ms += YIELD_SAMPLE_WEIGHT * (total / slot_ms - self.yield_per_ms);
             self.yield_per_ms = self.yield_per_ms.max(1e-6);
         }
         for (workspace, cost) in charges {
             let weight = self.weight(workspace);
             self.entry_mut(workspace).virtual_time += cost / weight;
-            if is_daemon {
+            if is_instance {
                 *self.domain_costs.entry(workspace).or_default() += cost;
             }
         }
--- a/crates/reedsail_scheduling/src/allocator/slots.rs
+++ b/crates/reedsail_scheduling/src/allocator/slots.rs
@@ -1,4 +1,4 @@
-//! Which slots of which backend servers a member is leased, given its target.
+//! Selects which slots of which backend servers to lease to a member, given its target.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,34 +11,34 @@
 use crate::LeaseRow;
 
 impl Allocator {
-    /// Leases the member its target: first takes back from servers that are over-committed, then
-    /// adds on those with the most free slots. No slot that another member may hold is leased.
+    /// Leases the target number of slots to the member. Reclaims slots on over-committed servers first, then
+    /// adds slots on the servers with the most free ones. Never leases a slot that another member may hold.
     pub(super) fn lease_slots(&mut self, to: NameHash, now: TimeMs) -> Vec<LeaseRow> {
         let capacity = self.capacity_for(to);
-        let others = self.committed_by_others(to);
-        let settled = self.is_settled(now);
+        let committed_by_others = self.committed_by_others(to);
+        let is_settled = self.is_settled(now);
         let Some(member) = self.members.get_mut(&to) else {
             return Vec::new();
         };
         let resting = member.resting.clone();
-        let room = |server: ServerKey| -> u32 {
+        let available = |server: ServerKey| -> u32 {
             if resting.contains(&server) {
                 return 0;
             }
             let slots = capacity.get(&server).copied().unwrap_or(0);
-            slots.saturating_sub(others.get(&server).copied().unwrap_or(0))
+            slots.saturating_sub(committed_by_others.get(&server).copied().unwrap_or(0))
         };
         let mut leases: BTreeMap<ServerKey, u32> = BTreeMap::new();
         let held: Vec<ServerKey> = member.slots.keys().copied().collect();
         for server in held {
-            let kept = member.committed(server).min(room(server));
+            let kept = member.committed(server).min(available(server));
             leases.insert(server, kept);
         }
         let target = member.target_slots;
         shrink_to(&mut leases, target);
-        if settled {
+        if is_settled {
             let servers: Vec<ServerKey> = capacity.keys().copied().collect();
-            grow_to(&mut leases, target, &servers, room);
+            grow_to(&mut leases, target, &servers, available);
         }
         for slots in member.slots.values_mut() {
             slots.granted = 0;
@@ -53,14 +53,14 @@
         rows
     }
 
-    /// Returns what may be leased: to another domain only own servers, to daemons borrowed ones too.
+    /// Returns the leasable slots: own servers for another domain, own and borrowed ones for an instance.
     fn capacity_for(&self, to: NameHash) -> HashMap<ServerKey, u32> {
         let mut capacity: HashMap<ServerKey, u32> = self
             .own_servers
             .iter()
             .map(|server| (server.server, server.slots))
             .collect();
-        if self.members.get(&to).is_some_and(super::Member::is_daemon) {
+        if self.members.get(&to).is_some_and(super::Member::is_instance) {
             for (server, slots) in self.borrowed_rows() {
                 *capacity.entry(server).or_default() += slots;
             }
@@ -94,12 +94,12 @@
     leases: &mut BTreeMap<ServerKey, u32>,
     target: u32,
     servers: &[ServerKey],
-    room: impl Fn(ServerKey) -> u32,
+    available: impl Fn(ServerKey) -> u32,
 ) {
     let mut total: u32 = leases.values().sum();
     while total < target {
         let free_on =
-            |server: ServerKey| room(server).saturating_sub(leases.get(&server).copied().unwrap_or(0));
+            |server: ServerKey| available(server).saturating_sub(leases.get(&server).copied().unwrap_or(0));
         let Some(emptiest) = servers
             .iter()
             .copied()
--- a/crates/reedsail_scheduling/src/claim_fold.rs
+++ b/crates/reedsail_scheduling/src/claim_fold.rs
@@ -1,4 +1,4 @@
-//! Who may run a call that may not be repeated: the first claim of its key in log order.
+//! Decides who may run a call that is not idempotent: the first claim of its key in log order.
 
 use std::collections::HashMap;
 
@@ -7,81 +7,81 @@
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// Returns the time in the key, in milliseconds since the Unix epoch.
+    /// Returns the timestamp in the key, in milliseconds since the Unix epoch.
     pub fn created_at_unix_ms(self) -> u64 {
         (self.0 >> 80) as u64
     }
 }
 
-/// Made anew for each try; tells a claimant its own record from a rival's.
+/// A new random value for each attempt; distinguishes a claimant's own record from a competitor's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Nonce(pub u64);
 
 /// A record of the claim stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRecord {
-    /// Somebody wants to run the call.
+    /// A claimant asks to run the call.
     Claim {
         /// The call's key.
         key: ClaimKey,
-        /// The try.
+        /// The attempt.
         nonce: Nonce,
     },
-    /// The holder's call has ended.
+    /// The call of the key's holder ended.
     End {
         /// The call's key.
         key: ClaimKey,
-        /// The try that held it.
+        /// The attempt that held the key.
         nonce: Nonce,
         /// The backend server's status, or zero if the request was never sent.
         status: u16,
     },
 }
 
-/// How a key stands.
+/// The state of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// This try holds the key and may run, once.
+    /// This attempt holds the key and may run the call once.
     Held(Nonce),
     /// The holder's call ended with this status.
     Ended(Nonce, u16),
 }
 
-/// Folds claims in log order. What the first record of a key says is never changed by a later
-/// claim; only its own holder's end is added.
+/// Folds claims in log order. A later claim never changes the state set by the first record of a key, except
+/// after an end with status zero. Otherwise only the end from the key's holder changes it.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimFold {
     states: HashMap<ClaimKey, ClaimState>,
     next_offset: u64,
-    /// Records before this offset were lost to retention before they were read.
-    blind_before: u64,
+    /// Log retention dropped the records before this offset before they were read.
+    truncated_before: u64,
 }
 
 impl ClaimFold {
-    /// Returns the offset from which to read on.
+    /// Returns the offset of the next record to read.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Returns how a key stands.
+    /// Returns the state of a key.
     pub fn state(&self, key: ClaimKey) -> Option<ClaimState> {
         self.states.get(&key).copied()
     }
 
-    /// Returns how many keys are remembered.
+    /// Returns the number of keys with a state.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Returns whether no key has a state.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Notes a read that found records from `first_offset` on.
+    /// Records that a read found records only from `first_offset` on.
     pub fn note_truncation(&mut self, first_offset: u64) {
         if first_offset > self.next_offset {
-            self.blind_before = first_offset;
+            self.truncated_before = first_offset;
             self.next_offset = first_offset;
         }
     }
@@ -101,7 +101,7 @@
         match record {
             ClaimRecord::Claim { key, nonce } => {
                 let state = self.states.entry(key).or_insert(ClaimState::Held(nonce));
-                // An end with status zero says that nothing was sent: the next claim may run.
+                // Status zero in an end means that nothing was sent, so the next claim may run.
                 if matches!(state, ClaimState::Ended(_, 0)) {
                     *state = ClaimState::Held(nonce);
                 }
--- a/crates/reedsail_scheduling/src/fair_queue.rs
+++ b/crates/reedsail_scheduling/src/fair_queue.rs
@@ -1,4 +1,4 @@
-//! One service's waiting requests on one daemon, ordered by workspace and inside each workspace.
+//! The waiting requests of one service on one instance, ordered by workspace and within each workspace.
 
 mod workspace_queue;
 
@@ -14,23 +14,23 @@
 
 pub(crate) use workspace_queue::WorkspaceQueue;
 
-/// The time over which a workspace's service rate is measured.
+/// The length of a window over which a workspace's service rate is measured.
 const RATE_WINDOW_MS: u64 = 1_000;
 
-/// How urgent a request is inside its own workspace; never weighed against other workspaces.
+/// The urgency of a request within its own workspace; never compared across workspaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Somebody waits for the answer.
+    /// A caller waits for the answer.
     Interactive,
     /// The answer can wait.
     Batch,
 }
 
 impl Class {
-    /// Every class, the more urgent first.
+    /// Every class, the most urgent first.
     pub const ALL: [Self; 2] = [Self::Interactive, Self::Batch];
 
-    /// Returns the place in the order: the smallest goes first.
+    /// Returns the rank in the queue order; the lowest rank goes first.
     pub fn rank(self) -> u8 {
         match self {
             Self::Interactive => 0,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the name that bundles, headers and metrics use.
+    /// Returns the name used in bundles, headers and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Interactive => "interactive",
@@ -47,40 +47,40 @@
     }
 }
 
-/// The place of a waiting request; redeemable to withdraw it.
+/// Identifies a waiting request, so that it can be withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket {
     pub(crate) workspace: WorkspaceKey,
     rank: (u8, u64, u64),
 }
 
-/// A request that waits for a slot. `W` is whatever wakes its owner.
+/// A request that waits for a slot. `W` wakes the task that owns it.
 #[derive(Debug)]
 pub struct Waiting<W> {
-    /// The workspace that it counts against.
+    /// The workspace charged for the request.
     pub workspace: WorkspaceKey,
     /// Its class.
     pub class: Class,
-    /// When its answer must have begun.
+    /// The time by which its answer must begin.
     pub deadline: TimeMs,
-    /// The size of its body, held in memory while it waits.
+    /// The size of its body, which stays in memory while the request waits.
     pub body_bytes: u64,
-    /// A hash of the prompt's prefix, if it has one.
+    /// A hash of the prompt's prefix, if the request has one.
     pub prefix: Option<u64>,
-    /// Whether it can give its slot up while it runs, and go on elsewhere.
+    /// Whether the request can be preempted while it runs and resumed on another server.
     pub preemptible: bool,
     /// Wakes the owner.
     pub waker: W,
 }
 
-/// Bounds on one workspace's queue at one daemon and service.
+/// Limits of one workspace's queue for one service on one instance.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
-    /// The most requests that wait.
+    /// The maximum number of waiting requests.
     pub queued_max: u32,
-    /// The most bytes of bodies that wait.
+    /// The maximum total size of waiting bodies.
     pub queued_bytes_max: u64,
-    /// The most requests that run at once at this daemon.
+    /// The maximum number of requests that run at once on this instance.
     pub running_max: u32,
 }
 
@@ -94,23 +94,24 @@
     }
 }
 
-/// The queues of every workspace at one service.
+/// The queues of all workspaces for one service.
 #[derive(Debug)]
 pub struct FairQueue<W> {
     table: Arc<WorkspaceTable>,
-    /// Workspaces that have used the service here; the others take a pointer's space.
+    /// Workspaces that have used the service on this instance; each other workspace takes only a pointer's
+    /// space.
     entries: Vec<Option<Box<WorkspaceQueue<W>>>>,
-    /// Workspaces with work waiting or running; kept short and scanned in full.
+    /// Workspaces with waiting or running requests; the list is short and scanned in full.
     active: Vec<WorkspaceKey>,
     /// No workspace that becomes backlogged starts below this virtual time.
     floor: f64,
-    /// The local time of the request taken last; who becomes backlogged starts here.
-    local_floor: f64,
-    /// Slots by weight where the allocator has told no share.
+    /// The local time of the request dispatched last. A workspace that becomes backlogged starts here.
+    local_time_floor: f64,
+    /// Slots per weight, used for workspaces without a share from the allocator.
     slots_per_weight: f64,
     sequence: u64,
     queued: u32,
-    window_began: TimeMs,
+    window_started_at: TimeMs,
 }
 
 impl<W> Default for FairQueue<W> {
@@ -120,17 +121,17 @@
             entries: Vec::new(),
             active: Vec::new(),
             floor: 0.0,
-            local_floor: 0.0,
+            local_time_floor: 0.0,
             slots_per_weight: 1.0,
             sequence: 0,
             queued: 0,
-            window_began: TimeMs(0),
+            window_started_at: TimeMs(0),
         }
     }
 }
 
 impl<W> FairQueue<W> {
-    /// Takes over the weights and limits of a new bundle; what waits stays.
+    /// Applies the weights and limits of a new bundle; waiting requests stay queued.
     pub(crate) fn configure(&mut self, table: Arc<WorkspaceTable>) {
         for (index, entry) in self.entries.iter_mut().enumerate() {
             if let Some(entry) = entry {
@@ -142,17 +143,17 @@
         self.table = table;
     }
 
-    /// Returns how many requests wait in all.
+    /// Returns the total number of waiting requests.
     pub fn queued(&self) -> u32 {
         self.queued
     }
 
-    /// Returns how many requests of the workspace wait.
+    /// Returns the number of waiting requests of the workspace.
     pub fn queued_of(&self, workspace: WorkspaceKey) -> u32 {
         self.entry(workspace).map_or(0, WorkspaceQueue::queued)
     }
 
-    /// Returns the cost that the workspace has received here since the start.
+    /// Returns the cost that the workspace has received on this instance since its start.
     pub fn lifetime_cost(&self, workspace: WorkspaceKey) -> f64 {
         self.entry(workspace).map_or(0.0, |entry| entry.lifetime_cost)
     }
@@ -190,7 +191,7 @@
         })
     }
 
-    /// Returns a workspace's share of the daemon's slots, told or assumed.
+    /// Returns a workspace's share of this instance's slots: the allocator's, or one derived from its weight.
     pub(crate) fn share_of(&self, entry: &WorkspaceQueue<W>) -> f64 {
         entry.share_or(self.slots_per_weight)
     }
@@ -207,29 +208,29 @@
         self.entries.iter_mut().flatten().map(Box::as_mut)
     }
 
-    /// Adds a request, or says why it is refused.
+    /// Queues a request.
     ///
     /// # Errors
-    /// `QueueFull`, `QueueBytesFull` or `WouldMissDeadline`; none of them has run.
+    /// `QueueFull`, `QueueBytesFull` or `WouldMissDeadline`; a refused request has not run.
     pub(crate) fn push<P: SharePolicy>(
         &mut self,
         policy: &P,
         waiting: Waiting<W>,
         now: TimeMs,
     ) -> Result<Ticket, (ErrorKind, W)> {
-        let (floor, local_floor) = (self.floor, self.local_floor);
+        let (floor, local_time_floor) = (self.floor, self.local_time_floor);
         self.sequence += 1;
         let sequence = self.sequence;
         let workspace = waiting.workspace;
         let entry = self.entry_mut(workspace);
-        if let Some(kind) = refusal(entry, &waiting, now) {
+        if let Some(kind) = rejection_kind(entry, &waiting, now) {
             return Err((kind, waiting.waker));
         }
         if entry.waiting.is_empty() {
             entry.backlogged_windows = 0;
-            entry.cost_at_window = entry.lifetime_cost;
+            entry.cost_at_window_start = entry.lifetime_cost;
             entry.virtual_time = entry.virtual_time.max(floor);
-            entry.local_time = entry.local_time.max(local_floor);
+            entry.local_time = entry.local_time.max(local_time_floor);
         }
         let rank = policy.rank(waiting.class, waiting.deadline, sequence);
         entry.queued_bytes += waiting.body_bytes;
@@ -242,17 +243,17 @@
         Ok(Ticket { workspace, rank })
     }
 
-    /// Withdraws a waiting request; `None` if it has been taken already.
+    /// Withdraws a waiting request; returns `None` if it is no longer queued.
     pub(crate) fn withdraw(&mut self, ticket: Ticket) -> Option<Waiting<W>> {
         let entry = self.entries.get_mut(ticket.workspace.index())?.as_deref_mut()?;
         let waiting = entry.waiting.remove(&ticket.rank)?;
         entry.queued_bytes -= waiting.body_bytes;
         self.queued -= 1;
-        self.retire_if_idle(ticket.workspace);
+        self.deactivate_if_idle(ticket.workspace);
         Some(waiting)
     }
 
-    /// Takes the request that goes next: the first of the workspace that is furthest behind.
+    /// Removes and returns the next request: the first one of the workspace that is furthest behind.
     pub(crate) fn pop<P: SharePolicy>(&mut self, policy: &P) -> Option<Waiting<W>> {
         let mut best: Option<((bool, f64), WorkspaceKey)> = None;
         for (key, entry) in self.active_entries() {
@@ -263,12 +264,13 @@
                 continue;
             }
             let local_time = entry.projected_local_time(self.slots_per_weight);
-            // Whoever has less than its whole slots goes first; parts of slots go by local time.
+            // Workspaces below the whole slots of their share go first; fractions of slots are ordered by
+            // local time.
             let order = (
                 !entry.is_below_share(),
                 policy.workspace_order(local_time, rank.2),
             );
-            if best.is_none_or(|(least, _)| order < least) {
+            if best.is_none_or(|(lowest, _)| order < lowest) {
                 best = Some((order, key));
             }
         }
@@ -279,12 +281,12 @@
         let (_, waiting) = entry.waiting.pop_first()?;
         entry.queued_bytes -= waiting.body_bytes;
         self.queued -= 1;
-        self.local_floor = self.local_floor.max(local_time);
-        self.settle_floor();
+        self.local_time_floor = self.local_time_floor.max(local_time);
+        self.update_floor();
         Some(waiting)
     }
 
-    /// Charges a workspace for what it received.
+    /// Charges a workspace for received cost.
     pub(crate) fn charge(&mut self, workspace: WorkspaceKey, cost: f64) {
         let slots_per_weight = self.slots_per_weight;
         let entry = self.entry_mut(workspace);
@@ -294,57 +296,57 @@
         entry.local_time += cost / entry.share_or(slots_per_weight);
     }
 
-    /// Counts what a preempted request did not receive as if it had, in the order here alone: else
-    /// the slot that it gave up would go back to its own workspace.
-    pub(crate) fn hold_back(&mut self, workspace: WorkspaceKey, cost: f64) {
+    /// Charges the unreceived cost of a preempted request to the local time only. Otherwise the released slot
+    /// would go back to the same workspace.
+    pub(crate) fn charge_local_time(&mut self, workspace: WorkspaceKey, cost: f64) {
         let slots_per_weight = self.slots_per_weight;
         let entry = self.entry_mut(workspace);
         entry.local_time += cost / entry.share_or(slots_per_weight);
     }
 
-    /// Takes over shares from the allocator. What a workspace is ahead of its share counts on, in
-    /// cost, but no further than a few requests: with a share that was tiny for a while it would
-    /// else wait for hours.
+    /// Applies the allocator's shares. A workspace keeps the cost by which it is ahead of its share, up to
+    /// the cost of a few requests. Without this limit, a workspace whose share was tiny for a while would
+    /// wait for hours.
     pub(crate) fn set_shares(&mut self, shares: &[(WorkspaceKey, f64)]) {
         let (slots, weight) = shares
             .iter()
             .fold((0.0, 0.0), |(slots, weight), (workspace, share)| {
-                let of = self.entry(*workspace).map_or(1.0, |entry| entry.weight);
-                (slots + share, weight + of)
+                let workspace_weight = self.entry(*workspace).map_or(1.0, |entry| entry.weight);
+                (slots + share, weight + workspace_weight)
             });
         let before = self.slots_per_weight;
         if slots > 0.0 {
             self.slots_per_weight = slots / weight;
         }
-        let (floor, after) = (self.local_floor, self.slots_per_weight);
+        let (floor, after) = (self.local_time_floor, self.slots_per_weight);
         for entry in self.all_entries_mut() {
-            entry.rebase(floor, before, None, after);
+            entry.change_share(floor, before, None, after);
         }
         for (workspace, share) in shares {
             self.entry_mut(*workspace)
-                .rebase(floor, after, Some(*share), after);
+                .change_share(floor, after, Some(*share), after);
         }
     }
 
-    /// Removes the workspace from the active list once nothing of it waits or runs.
-    pub(crate) fn retire_if_idle(&mut self, workspace: WorkspaceKey) {
+    /// Removes the workspace from the active list once it has no waiting or running requests.
+    pub(crate) fn deactivate_if_idle(&mut self, workspace: WorkspaceKey) {
         if self.entry(workspace).is_some_and(|entry| !entry.is_active()) {
             self.active.retain(|key| *key != workspace);
         }
     }
 
-    /// Takes every request whose deadline has passed.
+    /// Removes and returns all requests whose deadline has passed.
     pub(crate) fn take_expired(&mut self, now: TimeMs) -> Vec<Waiting<W>> {
         let mut expired = Vec::new();
         for key in self.active.clone() {
             let entry = self.entry_mut(key);
-            let late: Vec<_> = entry
+            let expired_ranks: Vec<_> = entry
                 .waiting
                 .iter()
                 .filter(|(_, waiting)| waiting.deadline <= now)
                 .map(|(rank, _)| *rank)
                 .collect();
-            for rank in late {
+            for rank in expired_ranks {
                 let ticket = Ticket { workspace: key, rank };
                 expired.extend(self.withdraw(ticket));
             }
@@ -352,31 +354,31 @@
         expired
     }
 
-    /// Updates service rates once the present window is over.
+    /// Updates the service rates at the end of the current window.
     pub(crate) fn measure_rates(&mut self, now: TimeMs) {
-        let window_ms = now.since_ms(self.window_began);
+        let window_ms = now.since_ms(self.window_started_at);
         if window_ms < RATE_WINDOW_MS {
             return;
         }
-        self.window_began = now;
+        self.window_started_at = now;
         for key in self.active.clone() {
             self.entry_mut(key).measure_rate(window_ms);
         }
     }
 
-    fn settle_floor(&mut self) {
-        let least = self
+    fn update_floor(&mut self) {
+        let lowest = self
             .active_entries()
             .filter(|(_, entry)| !entry.waiting.is_empty())
             .map(|(_, entry)| entry.virtual_time)
             .fold(f64::INFINITY, f64::min);
-        if least.is_finite() {
-            self.raise_floor(least);
+        if lowest.is_finite() {
+            self.raise_floor(lowest);
         }
     }
 }
 
-fn refusal<W>(entry: &WorkspaceQueue<W>, waiting: &Waiting<W>, now: TimeMs) -> Option<ErrorKind> {
+fn rejection_kind<W>(entry: &WorkspaceQueue<W>, waiting: &Waiting<W>, now: TimeMs) -> Option<ErrorKind> {
     if entry.queued() >= entry.limits.queued_max {
         return Some(ErrorKind::QueueFull);
     }
--- a/crates/reedsail_scheduling/src/lib.rs
+++ b/crates/reedsail_scheduling/src/lib.rs
@@ -1,15 +1,15 @@
-//! The decisions of `reedsaild`: which workspace's request runs next, on whose slots, and what the log's
-//! records come to. The router's decisions are in `reedsail_dispatch`.
+//! The scheduling decisions of `reedsaild`: which workspace's request runs next, on which slots, and what
+//! state the log's records yield. The router's decisions are in `reedsail_dispatch`.
 //!
-//! Pure: each function takes state, an event and the present moment, and returns what is to be done. The
-//! daemon, the tests and the replay drive this same code.
+//! The code is pure: each function takes state, an event and the current time, and returns the actions to
+//! take. Instances, tests and replays run this same code.
 //!
 //! | modules | decide |
 //! |---|---|
 //! | `fair_queue`, `scheduler`, `preemption`, `share` | which request of which workspace runs next |
 //! | `allocator`, `slot_lease`, `membership`, `pacer` | how the fleet's slots are leased to instances |
 //! | `rollout_fold`, `claim_fold` | which bundle is in force, who may run a keyed call |
-//! | `affinity`, `health`, `rate_limit`, `retry_budget` | bounds and hints for one instance |
+//! | `affinity`, `health`, `rate_limit`, `retry_budget` | limits and hints of a single instance |
 
 mod affinity;
 mod allocator;
--- a/crates/reedsail_scheduling/src/membership.rs
+++ b/crates/reedsail_scheduling/src/membership.rs
@@ -1,29 +1,29 @@
-//! Membership: which daemons are alive, and which of them has a role.
+//! Tracks which instances are alive and ranks them for roles.
 //!
-//! Owns what the platform's list, this daemon's own calls and its peers' reports say of each daemon. The
-//! list is late, so a daemon that was heard from is alive whether or not it is listed.
+//! The state of an instance combines the platform's list, this instance's own calls and the reports of its
+//! peers. The list lags behind, so an instance that answered recently counts as alive even when it is not
+//! listed.
 
 use std::collections::HashMap;
 
 use reedsail_core::NameHash;
 use reedsail_core::TimeMs;
 
-/// Time for which a daemon that failed to answer is suspected at first, in milliseconds.
+/// How long an instance is suspected after its first unanswered call, in milliseconds.
 const SUSPECT_FIRST_MS: u64 = 3_000;
-/// Longest time for which it is suspected, in milliseconds; each failure in a row doubles the time up to
-/// here.
+/// The longest suspicion, in milliseconds; each consecutive failure doubles the suspicion up to this limit.
 const SUSPECT_MAX_MS: u64 = 48_000;
-/// Time for which a daemon that was heard from counts as alive, in milliseconds.
+/// How long an instance counts as alive after a successful contact, in milliseconds.
 const ALIVE_MS: u64 = 10_000;
 
-/// What is known of one daemon.
+/// The state of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It can be asked.
+    /// It can be called.
     Alive,
-    /// It said, or the platform says, that it is leaving.
+    /// The instance or the platform announced that it is leaving.
     Leaving,
-    /// It failed to answer a moment ago, or nobody has heard of it for long.
+    /// It recently failed to answer, or it is neither listed nor recently contacted.
     Unreachable,
 }
 
@@ -32,98 +32,99 @@
     name: String,
     domain: NameHash,
     address: String,
-    listed: bool,
+    is_listed: bool,
     alive_until: TimeMs,
-    suspect_until: TimeMs,
-    failures_in_row: u32,
-    leaving: bool,
+    suspected_until: TimeMs,
+    consecutive_failures: u32,
+    is_leaving: bool,
 }
 
-/// The daemons that this one knows: the platform's late list, its own connections, peers' words.
+/// The instances known to this one, from the platform's list, its own connections and the reports of peers.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     entries: HashMap<NameHash, Entry>,
 }
 
 impl Membership {
-    /// Takes over one row of the platform's list, or of the settings.
-    pub fn list(&mut self, name: &str, domain: &str, address: &str, leaving: bool) {
+    /// Applies one row of the platform's list or of the settings.
+    pub fn list(&mut self, name: &str, domain: &str, address: &str, is_leaving: bool) {
         let entry = self.entries.entry(NameHash::of(name)).or_insert_with(|| Entry {
             name: name.to_owned(),
             domain: NameHash::of(domain),
             address: address.to_owned(),
-            listed: false,
+            is_listed: false,
             alive_until: TimeMs(0),
-            suspect_until: TimeMs(0),
-            failures_in_row: 0,
-            leaving: false,
+            suspected_until: TimeMs(0),
+            consecutive_failures: 0,
+            is_leaving: false,
         });
         if entry.address != address {
             address.clone_into(&mut entry.address);
-            entry.suspect_until = TimeMs(0);
-            entry.failures_in_row = 0;
-            entry.leaving = false;
+            entry.suspected_until = TimeMs(0);
+            entry.consecutive_failures = 0;
+            entry.is_leaving = false;
         }
-        entry.leaving |= leaving;
-        entry.listed = true;
+        entry.is_leaving |= is_leaving;
+        entry.is_listed = true;
     }
 
-    /// Takes note that the platform no longer lists a daemon.
+    /// Records that the platform no longer lists an instance.
     pub fn unlist(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(&NameHash::of(name)) {
-            entry.listed = false;
+            entry.is_listed = false;
         }
     }
 
-    /// Records that a daemon was heard from and stays; returns `true` if it was suspected.
-    pub fn record_alive(&mut self, daemon: NameHash, now: TimeMs) -> bool {
-        let Some(entry) = self.entries.get_mut(&daemon) else {
+    /// Records a successful contact with an instance that is not leaving; returns `true` if the instance was
+    /// suspected.
+    pub fn record_alive(&mut self, instance: NameHash, now: TimeMs) -> bool {
+        let Some(entry) = self.entries.get_mut(&instance) else {
             return false;
         };
-        let was_suspect = entry.failures_in_row > 0;
+        let was_suspected = entry.consecutive_failures > 0;
         entry.alive_until = now.plus_ms(ALIVE_MS);
-        entry.suspect_until = TimeMs(0);
-        entry.failures_in_row = 0;
-        entry.leaving = false;
-        was_suspect
+        entry.suspected_until = TimeMs(0);
+        entry.consecutive_failures = 0;
+        entry.is_leaving = false;
+        was_suspected
     }
 
-    /// Records that a daemon said it is leaving.
-    pub fn record_leaving(&mut self, daemon: NameHash) {
-        if let Some(entry) = self.entries.get_mut(&daemon) {
-            entry.leaving = true;
+    /// Records that an instance announced that it is leaving.
+    pub fn record_leaving(&mut self, instance: NameHash) {
+        if let Some(entry) = self.entries.get_mut(&instance) {
+            entry.is_leaving = true;
         }
     }
 
-    /// Records that a daemon did not answer; returns `true` if that is news.
-    pub fn suspect(&mut self, daemon: NameHash, now: TimeMs) -> bool {
-        let Some(entry) = self.entries.get_mut(&daemon) else {
+    /// Records that an instance did not answer; returns `true` for the first failure in a row.
+    pub fn suspect(&mut self, instance: NameHash, now: TimeMs) -> bool {
+        let Some(entry) = self.entries.get_mut(&instance) else {
             return false;
         };
-        let is_new = entry.failures_in_row == 0;
-        let suspect_ms = (SUSPECT_FIRST_MS << entry.failures_in_row.min(4)).min(SUSPECT_MAX_MS);
-        entry.failures_in_row += 1;
-        entry.suspect_until = now.plus_ms(suspect_ms);
-        is_new
+        let is_first_failure = entry.consecutive_failures == 0;
+        let suspect_ms = (SUSPECT_FIRST_MS << entry.consecutive_failures.min(4)).min(SUSPECT_MAX_MS);
+        entry.consecutive_failures += 1;
+        entry.suspected_until = now.plus_ms(suspect_ms);
+        is_first_failure
     }
 
-    /// Returns what is known of a daemon.
-    pub fn presence(&self, daemon: NameHash, now: TimeMs) -> Presence {
-        let Some(entry) = self.entries.get(&daemon) else {
+    /// Returns the state of an instance.
+    pub fn presence(&self, instance: NameHash, now: TimeMs) -> Presence {
+        let Some(entry) = self.entries.get(&instance) else {
             return Presence::Unreachable;
         };
-        if entry.leaving {
+        if entry.is_leaving {
             return Presence::Leaving;
         }
-        let known = entry.listed || now < entry.alive_until;
-        if known && entry.suspect_until <= now {
+        let is_known = entry.is_listed || now < entry.alive_until;
+        if is_known && entry.suspected_until <= now {
             Presence::Alive
         } else {
             Presence::Unreachable
         }
     }
 
-    /// Returns the daemons that can be asked, of one failure domain or of all.
+    /// Returns the instances that can be called, of one failure domain or of all.
     pub fn alive(&self, domain: Option<NameHash>, now: TimeMs) -> Vec<NameHash> {
         let mut alive: Vec<NameHash> = self
             .entries
@@ -138,18 +139,19 @@
         alive
     }
 
-    /// Returns the daemons of a failure domain that may hold leases: all that are known, those that do not answer as
-    /// well, since a daemon that cannot be reached goes on with what it was leased until that lapses.
+    /// Returns the instances of a failure domain that may hold leases: all known ones, including those that
+    /// do not answer. An unreachable instance keeps using its leases until they expire.
     pub fn lease_holders(&self, domain: NameHash, now: TimeMs) -> Vec<NameHash> {
-        let known = self
+        let holders = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.domain == domain && (entry.listed || now < entry.alive_until));
-        known.map(|(name, _)| *name).collect()
+            .filter(|(_, entry)| entry.domain == domain && (entry.is_listed || now < entry.alive_until));
+        holders.map(|(name, _)| *name).collect()
     }
 
-    /// Returns the daemons of a failure domain that are suspected although they are known. They are to be asked
-    /// again and again: two allocators that suspect each other lease the same slots for as long as they do.
+    /// Returns the instances of a failure domain that are suspected although they are known. The caller
+    /// probes them repeatedly: two allocators that suspect each other lease the same slots while their
+    /// suspicion lasts.
     pub fn suspects_to_probe(&self, domain: NameHash, now: TimeMs) -> Vec<NameHash> {
         let holders = self.lease_holders(domain, now).into_iter();
         let mut suspects: Vec<NameHash> = holders
@@ -159,7 +161,7 @@
         suspects
     }
 
-    /// Returns the failure domains that any known daemon belongs to.
+    /// Returns the failure domains of all known instances.
     pub fn domains(&self) -> Vec<NameHash> {
         let mut domains: Vec<NameHash> = self.entries.values().map(|entry| entry.domain).collect();
         domains.sort();
@@ -167,54 +169,54 @@
         domains
     }
 
-    /// Returns where a daemon takes peers' calls.
-    pub fn address(&self, daemon: NameHash) -> Option<&str> {
-        self.entries.get(&daemon).map(|entry| entry.address.as_str())
+    /// Returns the address at which an instance accepts calls from peers.
+    pub fn address(&self, instance: NameHash) -> Option<&str> {
+        self.entries.get(&instance).map(|entry| entry.address.as_str())
     }
 
-    /// Returns a daemon's name.
-    pub fn name(&self, daemon: NameHash) -> Option<&str> {
-        self.entries.get(&daemon).map(|entry| entry.name.as_str())
+    /// Returns an instance's name.
+    pub fn name(&self, instance: NameHash) -> Option<&str> {
+        self.entries.get(&instance).map(|entry| entry.name.as_str())
     }
 
-    /// Takes a peer's word that a daemon did not answer, unless it was heard from here since.
-    pub fn suspect_by_report(&mut self, daemon: NameHash, now: TimeMs) {
-        let Some(entry) = self.entries.get(&daemon) else {
+    /// Applies a peer's report that an instance did not answer, unless this instance has contacted it since.
+    pub fn suspect_by_report(&mut self, instance: NameHash, now: TimeMs) {
+        let Some(entry) = self.entries.get(&instance) else {
             return;
         };
-        let heard_lately = now.plus_ms(ALIVE_MS / 2) < entry.alive_until;
-        if !heard_lately && entry.suspect_until <= now {
-            self.suspect(daemon, now);
+        let was_recently_alive = now.plus_ms(ALIVE_MS / 2) < entry.alive_until;
+        if !was_recently_alive && entry.suspected_until <= now {
+            self.suspect(instance, now);
         }
     }
 
-    /// Returns the daemons that are suspected now.
+    /// Returns the instances that are suspected now.
     pub fn suspects(&self, now: TimeMs) -> Vec<NameHash> {
-        let suspected = self.entries.iter().filter(|(_, entry)| now < entry.suspect_until);
+        let suspected = self.entries.iter().filter(|(_, entry)| now < entry.suspected_until);
         suspected.map(|(name, _)| *name).collect()
     }
 
-    /// Forgets daemons that nobody has heard of for long.
+    /// Removes instances that are neither listed nor recently alive.
     pub fn remove_stale(&mut self, now: TimeMs) {
         self.entries
-            .retain(|_, entry| entry.listed || now < entry.alive_until);
+            .retain(|_, entry| entry.is_listed || now < entry.alive_until);
     }
 
-    /// Returns how many daemons are known.
+    /// Returns the number of known instances.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no daemon is known.
+    /// Returns whether no instance is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// Orders candidates for a role by rendezvous hashing: the first one alive has it.
+/// Ranks the candidates for a role by rendezvous hashing; the first live candidate has the role.
 ///
-/// Everybody who sees the same candidates reaches the same order, and the loss of one moves only
-/// its own duties.
+/// Every instance that sees the same candidates computes the same order. The loss of a candidate moves only
+/// the roles of that candidate.
 pub fn rank_by_rendezvous(role: u64, candidates: &[NameHash]) -> Vec<NameHash> {
     let mut ranked: Vec<NameHash> = candidates.to_vec();
     ranked.sort_by_key(|candidate| std::cmp::Reverse(candidate.rendezvous_weight(role)));
--- a/crates/reedsail_scheduling/src/policy.rs
+++ b/crates/reedsail_scheduling/src/policy.rs
@@ -1,28 +1,29 @@
-//! How a daemon orders waiting work, and whether its slots are leased or fixed.
+//! Policies: how an instance orders waiting requests, and whether its slots are leased or fixed.
 
 use reedsail_core::TimeMs;
 
 use crate::Class;
 
-/// A way of sharing the backend servers; chosen at start-up, generic so that no call is indirect.
+/// A policy for sharing the backend servers. It is selected at start-up; the code is generic over it, so no
+/// call is dynamically dispatched.
 pub trait SharePolicy: Clone + Send + Sync + 'static {
-    /// The name that reports carry.
+    /// The name used in reports.
     const NAME: &'static str;
 
-    /// Tells whether slots come as leases from an allocator.
+    /// Whether an allocator leases the slots.
     const LEASED: bool;
 
-    /// Returns how many slots of a server this daemon takes when slots are not leased.
+    /// Returns how many slots of a server this instance uses when slots are not leased.
     fn fixed_slots(&self, capacity: u32) -> u32;
 
-    /// Returns the rank of a request inside its workspace's queue; the smallest goes first.
+    /// Returns the rank of a request in its workspace's queue; the lowest rank goes first.
     fn rank(&self, class: Class, deadline: TimeMs, sequence: u64) -> (u8, u64, u64);
 
-    /// Returns the rank of a workspace; the smallest goes first.
+    /// Returns the rank of a workspace; the lowest rank goes first.
     fn workspace_order(&self, virtual_time: f64, oldest_sequence: u64) -> f64;
 }
 
-/// Each daemon alone: first come, first served, over the whole of every backend server.
+/// Each instance alone: first in, first out, on all slots of every backend server.
 #[derive(Clone, Debug, Default)]
 pub struct FifoPolicy;
 
@@ -43,10 +44,10 @@
     }
 }
 
-/// Each daemon alone: a fair queue over a fixed part of every backend server.
+/// Each instance alone: a fair queue on a fixed fraction of every backend server.
 #[derive(Clone, Debug)]
 pub struct SplitPolicy {
-    /// How many daemons share each backend server.
+    /// The number of instances that share each backend server.
     pub instances: u32,
 }
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// The fleet's own way: leased slots, spent in the order of fleet-wide virtual time.
+/// Instances together: leased slots, used in the order of fleet-wide virtual time.
 #[derive(Clone, Debug, Default)]
 pub struct FleetPolicy;
 
--- a/crates/reedsail_scheduling/src/retry_budget.rs
+++ b/crates/reedsail_scheduling/src/retry_budget.rs
@@ -1,17 +1,17 @@
-//! A budget that keeps retries a small fraction of the traffic, on each daemon and so on the fleet.
+//! A budget that keeps retries a small fraction of the traffic on each instance, and so across the fleet.
 //!
-//! A token bucket, with bounds of the product's own. The router's is another (`retry` of
-//! `reedsail_dispatch`): its users judge retries over a sliding window with settings of theirs.
+//! This is a token bucket with the product's own limits. The router's retry budget (`retry` of
+//! `reedsail_dispatch`) is separate: its operators configure it, and it counts retries over a sliding window.
 
-/// Retries that a first attempt adds to the budget.
+/// Retries that each first attempt adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries that the budget holds at most, so that a long quiet time buys no storm.
-const BUDGET_MAX_RETRIES: f64 = 20.0;
+/// The maximum number of retries in the budget, so that a long idle period does not allow a retry storm.
+const RETRIES_MAX: f64 = 20.0;
 
-/// Counts what may still be retried: each first attempt earns a tenth of a retry.
+/// Counts the retries still allowed: each first attempt earns a tenth of a retry.
 ///
-/// Since every daemon holds to a tenth of its own traffic, the whole fleet's retries stay within
-/// a tenth of its traffic plus `BUDGET_MAX_RETRIES` a daemon, without a message between them.
+/// Every instance limits retries to a tenth of its own traffic. The retries of the whole fleet thus stay
+/// within a tenth of its traffic plus `RETRIES_MAX` per instance, without coordination messages.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     retries: f64,
@@ -20,18 +20,18 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            retries: BUDGET_MAX_RETRIES,
+            retries: RETRIES_MAX,
         }
     }
 }
 
 impl RetryBudget {
-    /// Earns for a first attempt.
+    /// Adds the retry fraction earned by a first attempt.
     pub fn earn(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(BUDGET_MAX_RETRIES);
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(RETRIES_MAX);
     }
 
-    /// Spends one retry; `false` if the budget is used up.
+    /// Spends one retry; returns `false` if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         if self.retries < 1.0 {
             return false;
--- a/crates/reedsail_scheduling/src/rollout_fold.rs
+++ b/crates/reedsail_scheduling/src/rollout_fold.rs
@@ -1,27 +1,27 @@
-//! Which bundle is in force: a fold over the log that every reader carries out alike.
+//! Determines the bundle in force: a fold over the log that yields the same result for every reader.
 
 /// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// What of a bundle record matters to the fold; signatures were checked before.
+/// The part of a bundle record that matters to the fold; its signatures are already verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutRecord {
-    /// Somebody proposes a successor.
+    /// An operator proposes a successor.
     Proposal {
-        /// The version that it replaces; zero for the first.
+        /// The version that it replaces; zero for the first version.
         base_version: u32,
         /// The digest of the base's content.
         base_digest: Digest,
         /// The digest of the proposed content.
         digest: Digest,
     },
-    /// A daemon repeats what was accepted, before the acceptance ages out of the log.
+    /// An instance repeats the accepted version before its record ages out of the log.
     Checkpoint {
         /// The accepted version.
         version: u32,
         /// The digest of its content.
         digest: Digest,
-        /// Every record before this offset is taken into account.
+        /// The checkpoint accounts for every record before this offset.
         as_of: u64,
     },
 }
@@ -29,42 +29,43 @@
 /// An accepted version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedVersion {
-    /// Counts up from one.
+    /// The version number, counted from one.
     pub version: u32,
     /// The digest of the content.
     pub digest: Digest,
 }
 
-/// What became of a record.
+/// The effect of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FoldVerdict {
     /// The proposal is the new version in force.
     Accepted(AcceptedVersion),
-    /// The checkpoint told a reader, that knew less, what is in force.
+    /// The checkpoint gave the reader a newer version in force.
     CaughtUp(AcceptedVersion),
-    /// A rival came first, or the base is not the one in force.
+    /// A competing proposal came first, or the base is not the version in force.
     Stale,
-    /// The record says what is known already.
+    /// The record repeats what the reader already knows.
     AlreadyKnown,
-    /// Records are missing, so nothing can be said yet; a checkpoint or a peer will help.
+    /// Records are missing, so the reader cannot judge the record. A checkpoint or a peer can supply the
+    /// version in force.
     MissingRecords,
 }
 
 /// Folds the records of the bundle stream in log order.
 ///
-/// A reader judges proposals only while it has seen every record since a sure start: offset zero,
-/// or a checkpoint or peer's word whose `as_of` leaves no proposal out. The first proposal seen
-/// after a gap may well be a rival that lost, and a checkpoint written by a daemon that lagged may
-/// be older than a proposal before it.
+/// A reader judges proposals only while its history is complete: it has seen every record since a trusted
+/// start. A trusted start is offset zero, or a checkpoint or peer's answer whose `as_of` covers every
+/// proposal read. The first proposal after a gap may be a competing one that was rejected. A checkpoint from
+/// an instance that lagged behind may be older than a proposal that precedes the checkpoint in the log.
 #[derive(Clone, Debug)]
 pub struct RolloutFold {
     in_force: Option<AcceptedVersion>,
-    /// Whether every record since a sure start was seen.
+    /// Whether every record since a trusted start was seen.
     has_complete_history: bool,
     next_offset: u64,
-    /// From here on every record was seen.
-    seen_from: u64,
-    last_proposal: Option<u64>,
+    /// Every record from this offset on was seen.
+    contiguous_from: u64,
+    last_proposal_offset: Option<u64>,
 }
 
 impl Default for RolloutFold {
@@ -73,60 +74,61 @@
             in_force: None,
             has_complete_history: true,
             next_offset: 0,
-            seen_from: 0,
-            last_proposal: None,
+            contiguous_from: 0,
+            last_proposal_offset: None,
         }
     }
 }
 
 impl RolloutFold {
-    /// Returns the version in force, if any is known.
+    /// Returns the version in force, if it is known.
     pub fn in_force(&self) -> Option<AcceptedVersion> {
         self.in_force
     }
 
-    /// Returns the offset from which to read on; every record before it is taken into account.
+    /// Returns the offset of the next record to read; every earlier record is accounted for.
     pub fn next_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// Tells whether every record since a sure start was seen.
+    /// Returns whether every record since a trusted start was seen.
     pub fn has_complete_history(&self) -> bool {
         self.has_complete_history
     }
 
-    /// Takes over a version that somebody sure knows as of an offset; an older one changes nothing.
+    /// Adopts a version from a source with a complete history as of an offset; an older version changes
+    /// nothing.
     ///
-    /// Returns `true` if the version is news.
+    /// Returns `true` if the version is new to this reader.
     pub fn adopt_version(&mut self, accepted: AcceptedVersion, as_of: u64) -> bool {
         if !self.covers(as_of) {
             return false;
         }
         if as_of > self.next_offset {
             self.next_offset = as_of;
-            self.seen_from = as_of;
-            self.last_proposal = None;
+            self.contiguous_from = as_of;
+            self.last_proposal_offset = None;
         }
         let is_new = self.in_force.is_none_or(|known| known.version < accepted.version);
         if is_new {
             self.in_force = Some(accepted);
         }
-        // Whoever speaks is sure, so the higher of both versions is the one in force.
+        // The source has a complete history, so the higher of both versions is the one in force.
         self.has_complete_history = true;
         is_new
     }
 
-    /// Tells whether knowledge as of an offset leaves out no proposal that was read here.
+    /// Returns whether a state as of an offset accounts for every proposal read here.
     fn covers(&self, as_of: u64) -> bool {
-        as_of >= self.seen_from && self.last_proposal.is_none_or(|offset| offset < as_of)
+        as_of >= self.contiguous_from && self.last_proposal_offset.is_none_or(|offset| offset < as_of)
     }
 
-    /// Notes a read that found records from `first_offset` on: what lies between is lost.
+    /// Records that a read found records only from `first_offset` on: the records in between are lost.
     pub fn note_truncation(&mut self, first_offset: u64) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
-            self.seen_from = first_offset;
-            self.last_proposal = None;
+            self.contiguous_from = first_offset;
+            self.last_proposal_offset = None;
             self.has_complete_history = false;
         }
     }
@@ -149,13 +151,13 @@
                 base_digest,
                 digest,
             } => {
-                self.last_proposal = Some(offset);
+                self.last_proposal_offset = Some(offset);
                 self.fold_proposal(base_version, base_digest, digest)
             }
         }
     }
 
-    /// Skips a record that cannot be read or whose signatures fail; every reader skips it alike.
+    /// Skips a record that cannot be parsed or verified; every reader skips the same records.
     pub fn skip(&mut self, offset: u64) {
         if offset >= self.next_offset {
             self.note_truncation(offset);
@@ -167,7 +169,7 @@
         if self.has_complete_history {
             return FoldVerdict::AlreadyKnown;
         }
-        // The checkpoint itself lies before `next_offset` already and is no proposal.
+        // The checkpoint's own offset is already below `next_offset`, and a checkpoint is not a proposal.
         if as_of >= self.next_offset || !self.covers(as_of) {
             return FoldVerdict::MissingRecords;
         }
--- a/crates/reedsail_scheduling/src/scheduler.rs
+++ b/crates/reedsail_scheduling/src/scheduler.rs
@@ -1,4 +1,5 @@
-//! One service on one daemon: who waits, which slots are held, what runs next and where.
+//! The scheduler of one service on one instance: its queues, its slots, and which request runs next on which
+//! server.
 
 mod leases;
 
@@ -18,13 +19,13 @@
 use crate::Ticket;
 use crate::Waiting;
 use crate::WorkspaceTable;
-use crate::preemption::RunEntry;
+use crate::preemption::PreemptibleRun;
 use crate::preemption::ShareBalance;
 use crate::preemption::preempt;
 
-/// So many slots given back are worth a report of their own.
-const SLOTS_BACK_MIN: u32 = 3;
-/// How much fuller, as a part of its slots, the server with the cached prefix may be.
+/// This many returned slots justify an urgent report.
+const RETURNED_SLOTS_MIN: u32 = 3;
+/// How much higher the load of the server with the cached prefix may be, as a fraction of its slots.
 const AFFINITY_LOAD_MARGIN: f64 = 0.5;
 
 /// A backend server as the bundle in force describes it.
@@ -32,25 +33,25 @@
 pub struct ServerSetup {
     /// The backend server.
     pub server: ServerKey,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub capacity: u32,
 }
 
-/// A request that was given a slot; handed back with [`Scheduler::finish`].
+/// A request with a slot; [`Scheduler::finish`] releases the slot.
 #[derive(Debug)]
 pub struct Running {
-    /// The workspace that it counts against.
+    /// The workspace charged for the request.
     pub workspace: WorkspaceKey,
-    /// The backend server whose slot it has.
+    /// The backend server of the slot.
     pub server: ServerKey,
-    /// Raised when the request is to give its slot up.
+    /// Raised when the request must release its slot.
     pub preempt: PreemptFlag,
-    number: u64,
-    estimate: f64,
-    charged: f64,
+    run_number: u64,
+    estimated_cost: f64,
+    charged_cost: f64,
 }
 
-/// A request that may be sent now.
+/// A request that can be sent now.
 #[derive(Debug)]
 pub struct Dispatch<W> {
     /// Its slot.
@@ -65,17 +66,17 @@
     leased: u32,
     lease_deadline: TimeMs,
     in_use: u32,
-    leaving: bool,
-    configured: bool,
+    is_leaving: bool,
+    is_configured: bool,
     reported_busy_ratio: f64,
     health: ServerHealth,
 }
 
 impl Server {
-    /// Returns the slots that may be given out now. A lapsed lease counts for nothing, whether or
-    /// not a tick has noticed: the control thread may be the one that was paused.
-    fn free(&mut self, leased: bool, now: TimeMs) -> u32 {
-        if self.leaving || !self.configured || (leased && self.lease_deadline <= now) {
+    /// Returns the number of slots available for new requests. An expired lease yields none, even before a
+    /// tick clears it: the control thread may be paused.
+    fn free_slots(&mut self, leased: bool, now: TimeMs) -> u32 {
+        if self.is_leaving || !self.is_configured || (leased && self.lease_deadline <= now) {
             return 0;
         }
         self.health
@@ -84,7 +85,7 @@
     }
 }
 
-/// One service's queues and slots on one daemon, shared under the policy `P`.
+/// The queues and slots of one service on one instance, shared under the policy `P`.
 #[derive(Debug)]
 pub struct Scheduler<P, W> {
     policy: P,
@@ -93,20 +94,20 @@
     affinity: AffinityTable,
     session: u32,
     runs_started: u64,
-    /// Running requests that can be given up, by their number.
-    preemptible: HashMap<u64, RunEntry>,
-    /// Until when the last grant holds.
+    /// Preemptible running requests by run number.
+    preemptible: HashMap<u64, PreemptibleRun>,
+    /// When the last grant expires.
     grant_deadline: TimeMs,
-    /// Set when work waits and no slot is free, until the next report.
-    starved: bool,
-    /// Set when the last report said that work waits.
-    starved_reported: bool,
-    /// Slots in use as the last grant shrank the lease below them; else zero.
-    slots_wanted_back: u32,
+    /// Whether requests waited without a free slot since the last report.
+    is_starved: bool,
+    /// Whether the last report included waiting requests.
+    was_backlog_reported: bool,
+    /// The slots in use when the last grant shrank the lease below them; zero otherwise.
+    in_use_at_shrink: u32,
 }
 
 impl<P: SharePolicy, W> Scheduler<P, W> {
-    /// Makes a scheduler without servers or work.
+    /// Creates a scheduler without servers or requests.
     pub fn new(policy: P, session: u32) -> Self {
         Self {
             policy,
@@ -117,9 +118,9 @@
             runs_started: 0,
             preemptible: HashMap::new(),
             grant_deadline: TimeMs(0),
-            starved: false,
-            starved_reported: false,
-            slots_wanted_back: 0,
+            is_starved: false,
+            was_backlog_reported: false,
+            in_use_at_shrink: 0,
         }
     }
 
@@ -128,10 +129,10 @@
         &self.queue
     }
 
-    /// Replaces weights and limits by those of a new bundle; what waits and runs stays.
+    /// Applies the weights and limits of a new bundle; waiting and running requests stay.
     pub fn configure(&mut self, servers: &[ServerSetup], workspaces: Arc<WorkspaceTable>) {
         for server in self.servers.values_mut() {
-            server.configured = false;
+            server.is_configured = false;
         }
         for setup in servers {
             let fixed = self.policy.fixed_slots(setup.capacity);
@@ -140,45 +141,45 @@
                 leased: 0,
                 lease_deadline: TimeMs(0),
                 in_use: 0,
-                leaving: false,
-                configured: true,
+                is_leaving: false,
+                is_configured: true,
                 reported_busy_ratio: 0.0,
                 health: ServerHealth::default(),
             });
             server.capacity = setup.capacity;
-            server.configured = true;
+            server.is_configured = true;
             if !P::LEASED {
                 server.leased = fixed;
             }
         }
         self.servers
-            .retain(|_, server| server.configured || server.in_use > 0);
+            .retain(|_, server| server.is_configured || server.in_use > 0);
         self.queue.configure(workspaces);
     }
 
     /// Queues a request.
     ///
     /// # Errors
-    /// The kind of refusal, none of which has run, and the waker handed back.
+    /// The kind of refusal and the waker; a refused request has not run.
     pub fn submit(&mut self, waiting: Waiting<W>, now: TimeMs) -> Result<Ticket, (ErrorKind, W)> {
         self.queue.push(&self.policy, waiting, now)
     }
 
-    /// Withdraws a request that still waits; `None` if it was dispatched before.
+    /// Withdraws a waiting request; returns `None` if it was already dispatched.
     pub fn withdraw(&mut self, ticket: Ticket) -> Option<Waiting<W>> {
         self.queue.withdraw(ticket)
     }
 
-    /// Dispatches as many waiting requests as slots are free.
+    /// Dispatches as many waiting requests as there are free slots.
     pub fn dispatch(&mut self, now: TimeMs) -> Vec<Dispatch<W>> {
         let mut dispatches = Vec::new();
         while self.queue.queued() > 0 {
             if !self
                 .servers
                 .values_mut()
-                .any(|server| server.free(P::LEASED, now) > 0)
+                .any(|server| server.free_slots(P::LEASED, now) > 0)
             {
-                self.starved = true;
+                self.is_starved = true;
                 break;
             }
             let Some(waiting) = self.queue.pop(&self.policy) else {
@@ -194,12 +195,12 @@
         dispatches
     }
 
-    /// Takes another slot for a retry, on a server other than those already tried.
+    /// Takes a slot for a retry, on a server that is not in `tried`.
     ///
-    /// A retry does not queue again: its workspace was charged for its turn.
+    /// A retry is not queued again: its workspace was already charged for its place in the order.
     ///
     /// # Errors
-    /// Hands the slot back if no other server has a free one.
+    /// Returns the original slot if no other server has a free one.
     pub fn move_to_untried_server(
         &mut self,
         running: Running,
@@ -210,7 +211,9 @@
             .servers
             .iter_mut()
             .filter(|(key, _)| !tried.contains(key))
-            .filter_map(|(key, server)| (server.free(P::LEASED, now) > 0).then_some((*key, server.in_use)))
+            .filter_map(|(key, server)| {
+                (server.free_slots(P::LEASED, now) > 0).then_some((*key, server.in_use))
+            })
             .min_by_key(|(key, in_use)| (*in_use, *key));
         let Some((server, _)) = choice else {
             return Err(running);
@@ -222,43 +225,44 @@
         Ok(Running { server, ..running })
     }
 
-    /// Charges a running request's cost as it shows, so that order does not wait for its end.
+    /// Charges a running request's cost as it accrues, so that the order does not depend on its end.
     pub fn progress(&mut self, running: &mut Running, cost: f64) {
-        let step = (cost - running.charged).max(0.0);
+        let new_cost = (cost - running.charged_cost).max(0.0);
         let entry = self.queue.entry_mut(running.workspace);
-        let still_expected = (running.estimate - running.charged).max(0.0);
-        let expected_after = (running.estimate - cost).max(0.0);
-        entry.outstanding_cost = (entry.outstanding_cost - (still_expected - expected_after)).max(0.0);
-        self.queue.charge(running.workspace, step);
-        running.charged += step;
+        let remaining_cost = (running.estimated_cost - running.charged_cost).max(0.0);
+        let remaining_after = (running.estimated_cost - cost).max(0.0);
+        entry.outstanding_cost = (entry.outstanding_cost - (remaining_cost - remaining_after)).max(0.0);
+        self.queue.charge(running.workspace, new_cost);
+        running.charged_cost += new_cost;
     }
 
-    /// Ends a request with its true cost and frees its slot.
+    /// Ends a request with its final cost and releases its slot.
     pub fn finish(&mut self, mut running: Running, cost: f64, answered: bool) {
         self.progress(&mut running, cost);
-        let still_expected = (running.estimate - running.charged).max(0.0);
+        let remaining_cost = (running.estimated_cost - running.charged_cost).max(0.0);
         let entry = self.queue.entry_mut(running.workspace);
-        entry.outstanding_cost = (entry.outstanding_cost - still_expected).max(0.0);
+        entry.outstanding_cost = (entry.outstanding_cost - remaining_cost).max(0.0);
         entry.running -= 1;
         if answered {
-            entry.learn_cost(cost);
+            entry.record_cost(cost);
         }
         if entry.running == 0 {
             entry.outstanding_cost = 0.0;
         }
         if !answered && running.preempt.is_raised() {
-            self.queue.hold_back(running.workspace, still_expected);
+            self.queue.charge_local_time(running.workspace, remaining_cost);
         }
-        self.preemptible.remove(&running.number);
-        self.queue.retire_if_idle(running.workspace);
+        self.preemptible.remove(&running.run_number);
+        self.queue.deactivate_if_idle(running.workspace);
         if answered && let Some(entry) = self.servers.get_mut(&running.server) {
-            entry.health.succeed();
+            entry.health.record_success();
         }
         self.release_slot(running.server);
     }
 
-    /// Has running requests give slots up that the lease no longer covers, or that workspaces short
-    /// of their share lack; returns how many. Without a grant in force nobody else waits for them.
+    /// Preempts running requests that exceed the lease or that hold slots which workspaces below their share
+    /// lack; returns their number. Does nothing without a valid grant: then no other instance waits for the
+    /// slots.
     pub fn preempt_excess(&mut self, now: TimeMs) -> usize {
         if !P::LEASED || self.grant_deadline <= now {
             return 0;
@@ -278,8 +282,8 @@
         preempt(&self.preemptible, &balances, self.slot_counts(), now)
     }
 
-    /// Does the same at once for a request that was queued although its workspace has less than its
-    /// share: it need not wait for the next tick.
+    /// Preempts at once, without waiting for the next tick, if the workspace of a newly queued request is
+    /// below its share.
     pub fn preempt_for(&mut self, workspace: WorkspaceKey, now: TimeMs) {
         let is_short = self.queue.entry(workspace).is_some_and(|entry| {
             entry.queued() > 0 && f64::from(entry.running) + 1.0 <= self.queue.share_of(entry)
@@ -289,28 +293,28 @@
         }
     }
 
-    /// Records a failure of the server; returns `true` when it is now left to rest.
+    /// Records a failure of the server; returns `true` if its rest begins.
     pub fn record_failure(&mut self, server: ServerKey, now: TimeMs) -> bool {
         self.servers
             .get_mut(&server)
-            .is_some_and(|entry| entry.health.fail(now))
+            .is_some_and(|entry| entry.health.record_failure(now))
     }
 
-    /// Marks the backend servers that the platform or a peer says are leaving.
+    /// Marks the backend servers that are leaving according to the platform or a peer.
     pub fn set_leaving(&mut self, is_leaving: impl Fn(ServerKey) -> bool) {
         for (key, server) in &mut self.servers {
-            server.leaving = is_leaving(*key);
+            server.is_leaving = is_leaving(*key);
         }
     }
 
-    /// Records how busy a server says it is; the report lags, so it only breaks near ties.
+    /// Records the load that a server reports; the report lags behind, so it only breaks near ties.
     pub fn record_load(&mut self, server: ServerKey, busy_ratio: f64) {
         if let Some(entry) = self.servers.get_mut(&server) {
             entry.reported_busy_ratio = busy_ratio.clamp(0.0, 2.0);
         }
     }
 
-    /// Records a server's late word that it cached or dropped a prefix.
+    /// Records a server's delayed report that it cached or evicted a prefix.
     pub fn record_cache_event(&mut self, server: ServerKey, prefix: u64, cached: bool, now: TimeMs) {
         if cached {
             self.affinity.record(prefix, server, now);
@@ -319,14 +323,14 @@
         }
     }
 
-    /// Lets lapsed leases go and takes out requests whose deadline has passed.
+    /// Clears expired leases, and removes and returns requests whose deadline has passed.
     pub fn tick(&mut self, now: TimeMs) -> Vec<Waiting<W>> {
-        self.drop_lapsed(now);
+        self.expire_leases(now);
         self.queue.measure_rates(now);
         self.queue.take_expired(now)
     }
 
-    fn drop_lapsed(&mut self, now: TimeMs) {
+    fn expire_leases(&mut self, now: TimeMs) {
         if !P::LEASED {
             return;
         }
@@ -337,27 +341,27 @@
         }
     }
 
-    /// Tells whether the allocator ought to know at once: work waits here without a free slot, or
-    /// slots that it wants back have become free.
+    /// Returns whether the allocator needs a report at once: requests wait without a free slot, or slots that
+    /// it reclaimed are free.
     pub fn needs_urgent_report(&self) -> bool {
-        let starved_anew = self.starved && self.queue.queued() > 0 && !self.starved_reported;
+        let is_newly_starved = self.is_starved && self.queue.queued() > 0 && !self.was_backlog_reported;
         let (_, in_use) = self.slot_counts();
-        starved_anew || in_use + SLOTS_BACK_MIN <= self.slots_wanted_back
+        is_newly_starved || in_use + RETURNED_SLOTS_MIN <= self.in_use_at_shrink
     }
 
-    /// Tells whether there is anything to report beyond that the daemon is alive.
+    /// Returns whether any workspace has waiting or running requests.
     pub fn is_active(&self) -> bool {
         self.queue.active_entries().next().is_some()
     }
 
-    /// Returns the slots that are leased, in use, and configured.
+    /// Returns the numbers of leased slots and of slots in use.
     pub fn slot_counts(&self) -> (u32, u32) {
         let leased = self.servers.values().map(|server| server.leased).sum();
         let in_use = self.servers.values().map(|server| server.in_use).sum();
         (leased, in_use)
     }
 
-    /// Returns the slots of a server that requests may be started on now, those in use among them.
+    /// Returns a server's slots under a valid lease, including those in use.
     pub fn valid_slots(&self, server: ServerKey, now: TimeMs) -> u32 {
         let known = self.servers.get(&server);
         let is_valid = |server: &&Server| !P::LEASED || now < server.lease_deadline;
@@ -370,31 +374,31 @@
             entry.in_use += 1;
         }
         self.runs_started += 1;
-        let number = self.runs_started;
+        let run_number = self.runs_started;
         let preempt = PreemptFlag::default();
         if waiting.preemptible {
-            let run = RunEntry {
+            let run = PreemptibleRun {
                 workspace,
                 server,
                 started_at: now,
                 flag: preempt.clone(),
             };
-            self.preemptible.insert(number, run);
+            self.preemptible.insert(run_number, run);
         }
         if let Some(prefix) = waiting.prefix {
             self.affinity.record(prefix, server, now);
         }
         let entry = self.queue.entry_mut(workspace);
         entry.running += 1;
-        let estimate = entry.mean_cost;
-        entry.outstanding_cost += estimate;
+        let estimated_cost = entry.mean_cost;
+        entry.outstanding_cost += estimated_cost;
         Running {
             workspace,
             server,
             preempt,
-            number,
-            estimate,
-            charged: 0.0,
+            run_number,
+            estimated_cost,
+            charged_cost: 0.0,
         }
     }
 
@@ -403,39 +407,39 @@
             return;
         };
         entry.in_use -= 1;
-        if entry.in_use == 0 && !entry.configured {
+        if entry.in_use == 0 && !entry.is_configured {
             self.servers.remove(&server);
         }
     }
 
-    /// Chooses among servers with a free slot: the one with the cached prefix unless it is much
-    /// fuller than the emptiest, else the emptiest.
+    /// Chooses among servers with a free slot: the one with the cached prefix unless its load is much higher
+    /// than the lowest, otherwise the least loaded.
     fn choose_server(&mut self, prefix: Option<u64>, now: TimeMs) -> Option<ServerKey> {
-        let hinted = prefix.and_then(|prefix| self.affinity.find(prefix, now));
-        let mut emptiest: Option<(f64, ServerKey)> = None;
-        let mut hinted_fill = None;
+        let preferred = prefix.and_then(|prefix| self.affinity.find(prefix, now));
+        let mut least_loaded: Option<(f64, ServerKey)> = None;
+        let mut preferred_load = None;
         for (key, server) in &mut self.servers {
-            if server.free(P::LEASED, now) == 0 {
+            if server.free_slots(P::LEASED, now) == 0 {
                 continue;
             }
-            let own_fill = f64::from(server.in_use) / f64::from(server.capacity.max(1));
-            let fill = own_fill + 0.1 * server.reported_busy_ratio;
-            if hinted == Some(*key) {
-                hinted_fill = Some(fill);
+            let own_load = f64::from(server.in_use) / f64::from(server.capacity.max(1));
+            let load = own_load + 0.1 * server.reported_busy_ratio;
+            if preferred == Some(*key) {
+                preferred_load = Some(load);
             }
-            if emptiest.is_none_or(|(least, least_key)| (fill, *key) < (least, least_key)) {
-                emptiest = Some((fill, *key));
+            if least_loaded.is_none_or(|(least_load, least_key)| (load, *key) < (least_load, least_key)) {
+                least_loaded = Some((load, *key));
             }
         }
-        let (least, emptiest) = emptiest?;
-        match (hinted, hinted_fill) {
-            (Some(server), Some(fill)) if fill <= least + AFFINITY_LOAD_MARGIN => Some(server),
-            _ => Some(emptiest),
+        let (least_load, least_loaded) = least_loaded?;
+        match (preferred, preferred_load) {
+            (Some(server), Some(load)) if load <= least_load + AFFINITY_LOAD_MARGIN => Some(server),
+            _ => Some(least_loaded),
         }
     }
 }
 
-/// Cuts a cost down to the wrapping whole number that travels.
+/// Truncates a cost to the wrapping integer sent on the wire.
 fn wrapping_cost(cost: f64) -> u32 {
     (cost as u64) as u32
 }
--- a/crates/reedsail_scheduling/src/scheduler/leases.rs
+++ b/crates/reedsail_scheduling/src/scheduler/leases.rs
@@ -1,4 +1,4 @@
-//! What a daemon reports to the allocator, and what it takes over from it.
+//! The scheduler's reports to the allocator, and how it applies grants.
 
 use reedsail_core::ServerKey;
 use reedsail_core::TimeMs;
@@ -15,7 +15,7 @@
 use super::wrapping_cost;
 
 impl<P: SharePolicy, W> Scheduler<P, W> {
-    /// Starts the cost counters again, for an allocator that does not know them.
+    /// Restarts the cost counters, for an allocator that does not know them.
     pub fn begin_session(&mut self, session: u32) {
         self.session = session;
         for entry in self.queue.all_entries_mut() {
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Writes the report to the allocator.
+    /// Creates the report to the allocator.
     pub fn report(&mut self, now: TimeMs) -> ServiceReport {
-        self.drop_lapsed(now);
-        self.starved = false;
-        self.starved_reported = self.queue.queued() > 0;
-        self.slots_wanted_back = 0;
+        self.expire_leases(now);
+        self.is_starved = false;
+        self.was_backlog_reported = self.queue.queued() > 0;
+        self.in_use_at_shrink = 0;
         let base = self.queue.floor();
         let mut demands = Vec::new();
         let session = self.session;
@@ -42,7 +42,7 @@
                 lead: entry.virtual_time - base,
             });
         }
-        self.add_unreported(&mut demands, base);
+        self.add_idle_demands(&mut demands, base);
         for demand in &demands {
             let entry = self.queue.entry_mut(demand.workspace);
             entry.cost_reported = entry.cost_total;
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Adds idle workspaces that received cost since the last report.
-    fn add_unreported(&mut self, demands: &mut Vec<DemandRow>, base: f64) {
+    /// Adds idle workspaces with cost received since the last report.
+    fn add_idle_demands(&mut self, demands: &mut Vec<DemandRow>, base: f64) {
         for (workspace, entry) in self.queue.idle_entries() {
             if entry.cost_total > entry.cost_reported {
                 demands.push(DemandRow {
@@ -99,10 +99,10 @@
         resting
     }
 
-    /// Takes over the allocator's leases and virtual times.
+    /// Applies the allocator's leases and virtual times.
     ///
-    /// `lease_deadline` counts from when the report was sent, so that a daemon that was paused in
-    /// between finds its lease lapsed and not renewed.
+    /// `lease_deadline` is relative to the time the report was sent. An instance that was paused in between
+    /// thus finds its lease expired instead of renewed.
     pub fn apply_grant(&mut self, grant: &ServiceGrant, lease_deadline: TimeMs) {
         self.grant_deadline = lease_deadline;
         for server in self.servers.values_mut() {
@@ -115,7 +115,7 @@
             }
         }
         let (leased, in_use) = self.slot_counts();
-        self.slots_wanted_back = if in_use > leased { in_use } else { 0 };
+        self.in_use_at_shrink = if in_use > leased { in_use } else { 0 };
         self.queue.raise_floor(grant.base);
         for row in &grant.virtual_times {
             let entry = self.queue.entry_mut(row.workspace);
@@ -126,7 +126,7 @@
         self.queue.set_shares(&shares);
     }
 
-    /// Gives back every lease, for a planned stop; what runs keeps its slot to the end.
+    /// Returns every lease, for a planned stop; running requests keep their slots until they end.
     pub fn release_leases(&mut self) {
         for server in self.servers.values_mut() {
             server.leased = server.in_use.min(server.leased);
--- a/crates/reedsail_scheduling/src/slot_lease.rs
+++ b/crates/reedsail_scheduling/src/slot_lease.rs
@@ -1,15 +1,15 @@
-//! What a member of a service tells its allocator, and what the allocator leases back.
+//! The reports of a service's members to their allocator, and the leases it grants.
 //!
-//! A member is a daemon, or the allocator of another failure domain that borrows spare slots:
-//! both speak this same protocol.
+//! A member is an instance, or the allocator of another failure domain that borrows spare slots. Both use the
+//! same protocol.
 
 use reedsail_core::ServerKey;
 use reedsail_core::WorkspaceKey;
 
-/// Who reports.
+/// The kind of a reporting member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberKind {
-    /// A daemon of the allocator's own failure domain.
+    /// An instance of the allocator's own failure domain.
     Instance,
     /// The allocator of the same service in another failure domain.
     Domain,
@@ -20,20 +20,20 @@
 pub struct SlotRow {
     /// The backend server.
     pub server: ServerKey,
-    /// Slots leased to the member or still in use there.
+    /// Slots leased to the member, or still in use after the lease shrank.
     pub held: u32,
-    /// Slots on which a request runs.
+    /// Slots with a running request.
     pub in_use: u32,
 }
 
-/// What one workspace wants, and what it has received, at the member.
+/// A workspace's demand and received cost at the member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DemandRow {
     /// The workspace.
     pub workspace: WorkspaceKey,
-    /// Requests that wait.
+    /// Waiting requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
     /// Cost received since the session began, in whole cost units, wrapping at 2³².
     pub cost_total: u32,
@@ -44,55 +44,55 @@
 /// One member's report on one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceReport {
-    /// Who reports.
+    /// The kind of the member.
     pub kind: MemberKind,
-    /// Changes whenever the member's cost counters start again from zero.
+    /// Changes whenever the member's cost counters restart from zero.
     pub session: u32,
-    /// For a domain: how many slots its own backend servers have.
+    /// For a domain: the total slots of its own backend servers.
     pub own_slots: u32,
-    /// The virtual time from which leads count.
+    /// The virtual time to which leads are relative.
     pub base: f64,
-    /// The slots held.
+    /// The held slots.
     pub slots: Vec<SlotRow>,
-    /// Backend servers that the member's own requests failed on and that now rest.
+    /// Backend servers that rest after the member's own requests failed on them.
     pub resting: Vec<ServerKey>,
-    /// What workspaces want and got.
+    /// The demand and received cost of each workspace.
     pub demands: Vec<DemandRow>,
 }
 
-/// How many slots of a backend server are leased to the member.
+/// The slots of a backend server leased to the member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRow {
     /// The backend server.
     pub server: ServerKey,
-    /// Leased slots, in place of any earlier lease on the server.
+    /// Leased slots; they replace any earlier lease on the server.
     pub slots: u32,
 }
 
-/// A workspace's fleet-wide virtual time, and its part of the member's slots.
+/// A workspace's fleet-wide virtual time and its share of the member's slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VirtualTimeRow {
     /// The workspace.
     pub workspace: WorkspaceKey,
     /// Virtual time above the grant's base, in cost units per weight.
     pub lead: f64,
-    /// The slots that the workspace is to have at the member.
+    /// The workspace's target number of slots at the member.
     pub share: f64,
 }
 
-/// The allocator's answer to one report; servers that it does not name are no longer leased.
+/// The allocator's answer to a report. A server without a row is no longer leased.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceGrant {
-    /// The least virtual time among backlogged workspaces, as the allocator knows it.
+    /// The lowest virtual time among backlogged workspaces known to the allocator.
     pub base: f64,
     /// The leases.
     pub leases: Vec<LeaseRow>,
-    /// The virtual times of the workspaces that the report named.
+    /// The virtual times of the workspaces in the report.
     pub virtual_times: Vec<VirtualTimeRow>,
 }
 
 impl ServiceGrant {
-    /// Returns each named workspace's share of the member's slots.
+    /// Returns each listed workspace's share of the member's slots.
     pub fn shares(&self) -> impl Iterator<Item = (WorkspaceKey, f64)> {
         self.virtual_times.iter().map(|row| (row.workspace, row.share))
     }
--- a/crates/reedsail_scheduling/src/workspace_table.rs
+++ b/crates/reedsail_scheduling/src/workspace_table.rs
@@ -1,29 +1,29 @@
-//! The weights and limits of every workspace: one table for all services and allocators.
+//! The weights and limits of all workspaces: one table for all services and allocators.
 
 use reedsail_core::TableKey;
 use reedsail_core::WorkspaceKey;
 
 use crate::QueueLimits;
 
-/// A workspace as the bundle in force describes it.
+/// A workspace's configuration in the bundle in force.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkspaceSetup {
     /// The workspace.
     pub workspace: WorkspaceKey,
     /// Its weight.
     pub weight: f64,
-    /// Its limits at one daemon.
+    /// Its limits at one instance.
     pub limits: QueueLimits,
 }
 
-/// Looks workspaces up by key; made once for each bundle and shared.
+/// Looks up workspaces by key; built once per bundle and shared.
 #[derive(Clone, Debug, Default)]
 pub struct WorkspaceTable {
     entries: Vec<Option<WorkspaceSetup>>,
 }
 
 impl WorkspaceTable {
-    /// Makes the table.
+    /// Creates the table.
     pub fn new(setups: impl IntoIterator<Item = WorkspaceSetup>) -> Self {
         let mut entries: Vec<Option<WorkspaceSetup>> = Vec::new();
         for setup in setups {
@@ -36,12 +36,13 @@
         Self { entries }
     }
 
-    /// Returns a workspace's weight; one that left the bundle while its requests run counts as one.
+    /// Returns a workspace's weight; the weight is one for a workspace that was removed from the bundle while
+    /// its requests run.
     pub fn weight(&self, workspace: WorkspaceKey) -> f64 {
         self.get(workspace).map_or(1.0, |setup| setup.weight)
     }
 
-    /// Returns a workspace's limits at one daemon.
+    /// Returns a workspace's limits at one instance.
     pub fn limits(&self, workspace: WorkspaceKey) -> QueueLimits {
         self.get(workspace)
             .map_or_else(QueueLimits::default, |setup| setup.limits)
