--- a/crates/reedsail_scheduling/tests/decisions.rs
+++ b/crates/reedsail_scheduling/tests/decisions.rs
@@ -1,155 +1,157 @@
-//! The decisions of nine daemons and three allocators, driven without sockets through failures.
+//! Scheduling decisions of nine instances and three allocators in a simulated fleet without sockets, with and
+//! without failures.
 
-mod drive;
+mod fleet_simulation;
 
-use drive::Drive;
-use drive::GapWatch;
-use drive::uneven_setup;
+use fleet_simulation::FairnessGapTracker;
+use fleet_simulation::FleetSimulation;
+use fleet_simulation::uneven_setup;
 
-const ALL: std::ops::Range<usize> = 0..16;
-/// What the gap may be in steady backlog: two seconds and the largest request's fair-part time.
+const WORKSPACES: std::ops::Range<usize> = 0..16;
+/// The largest allowed gap under steady backlog: two seconds plus the time of the largest request at a fair
+/// share.
 const GAP_BOUND_S: f64 = 2.0 + 180.0 / 506.0;
 
-fn settled(seed: u64) -> Drive {
-    let mut drive = Drive::new(uneven_setup(seed));
-    drive.run(12_000);
-    drive.take_utilisation();
-    drive
+fn settled_fleet(seed: u64) -> FleetSimulation {
+    let mut simulation = FleetSimulation::new(uneven_setup(seed));
+    simulation.advance(12_000);
+    simulation.take_utilisation();
+    simulation
 }
 
-/// Runs on and returns the gap over that time.
-fn gap_over(drive: &mut Drive, span_ms: u64) -> f64 {
-    let mut watch = GapWatch::begin(drive, ALL.collect());
+/// Advances the simulation and returns the largest gap during that time.
+fn measure_gap_s(simulation: &mut FleetSimulation, span_ms: u64) -> f64 {
+    let mut tracker = FairnessGapTracker::start(simulation, WORKSPACES.collect());
     for _ in 0..span_ms / 100 {
-        drive.run(100);
-        watch.look(drive);
+        simulation.advance(100);
+        tracker.record(simulation);
     }
-    watch.gap_s()
+    tracker.gap_s()
 }
 
-fn assert_no_overload(drive: &Drive) {
-    for (load, slots) in drive.server_loads() {
+fn assert_no_overload(simulation: &FleetSimulation) {
+    for (load, slots) in simulation.server_loads() {
         assert!(load <= slots, "{load} requests on {slots} slots");
     }
 }
 
 #[test]
-fn the_gap_stays_small_and_no_slot_idles_in_steady_backlog() {
+fn fairness_gap_stays_small_and_slots_stay_busy_under_steady_backlog() {
     for seed in [1, 2, 3] {
-        let mut drive = settled(seed);
-        let first = gap_over(&mut drive, 20_000);
-        let second = gap_over(&mut drive, 20_000);
+        let mut simulation = settled_fleet(seed);
+        let first_s = measure_gap_s(&mut simulation, 20_000);
+        let second_s = measure_gap_s(&mut simulation, 20_000);
         assert!(
-            first <= GAP_BOUND_S && second <= GAP_BOUND_S,
-            "{first:.2} s, then {second:.2} s"
+            first_s <= GAP_BOUND_S && second_s <= GAP_BOUND_S,
+            "{first_s:.2} s, then {second_s:.2} s"
         );
-        assert!(drive.take_utilisation() >= 0.97);
-        assert_no_overload(&drive);
+        assert!(simulation.take_utilisation() >= 0.97);
+        assert_no_overload(&simulation);
     }
 }
 
 #[test]
-fn all_callers_on_one_daemon_use_the_slots_of_all_domains() {
+fn callers_on_one_instance_use_the_slots_of_all_domains() {
     let mut setup = uneven_setup(1);
-    for reach in &mut setup.reach {
-        *reach = vec![0];
+    for reachable in &mut setup.reachable {
+        *reachable = vec![0];
     }
-    let mut drive = Drive::new(setup);
-    drive.run(12_000);
-    drive.take_utilisation();
-    drive.run(20_000);
-    let utilisation = drive.take_utilisation();
+    let mut simulation = FleetSimulation::new(setup);
+    simulation.advance(12_000);
+    simulation.take_utilisation();
+    simulation.advance(20_000);
+    let utilisation = simulation.take_utilisation();
     assert!(utilisation >= 0.97, "{utilisation:.3}");
 }
 
 #[test]
-fn an_allocator_that_starts_again_with_nothing_changes_little() {
-    let mut drive = settled(4);
-    drive.restart_allocator(0);
-    let gap_s = gap_over(&mut drive, 10_000);
-    assert!(gap_s <= GAP_BOUND_S + 2.0, "{gap_s:.2} s while it learns");
-    let after_s = gap_over(&mut drive, 10_000);
+fn an_allocator_restart_without_state_barely_affects_fairness() {
+    let mut simulation = settled_fleet(4);
+    simulation.restart_allocator(0);
+    let gap_s = measure_gap_s(&mut simulation, 10_000);
+    assert!(gap_s <= GAP_BOUND_S + 2.0, "{gap_s:.2} s while the new allocator settles");
+    let after_s = measure_gap_s(&mut simulation, 10_000);
     assert!(after_s <= GAP_BOUND_S, "{after_s:.2} s after");
-    assert_no_overload(&drive);
+    assert_no_overload(&simulation);
 }
 
 #[test]
-fn a_cut_domain_serves_on_and_nobody_starves_when_it_is_back() {
-    let mut drive = settled(5);
-    drive.set_cut(0, true);
-    drive.run(15_000);
-    let before = drive.served().to_vec();
-    drive.run(5_000);
-    for workspace in ALL {
+fn no_workspace_starves_during_or_after_a_partition() {
+    let mut simulation = settled_fleet(5);
+    simulation.set_partitioned(0, true);
+    simulation.advance(15_000);
+    let served_before = simulation.served().to_vec();
+    simulation.advance(5_000);
+    for workspace in WORKSPACES {
         assert!(
-            drive.served()[workspace] > before[workspace],
-            "{workspace} starves during the cut"
+            simulation.served()[workspace] > served_before[workspace],
+            "{workspace} starves during the partition"
         );
     }
-    assert_no_overload(&drive);
-    drive.set_cut(0, false);
-    drive.run(5_000);
-    let back = drive.served().to_vec();
-    drive.run(5_000);
-    for workspace in ALL {
+    assert_no_overload(&simulation);
+    simulation.set_partitioned(0, false);
+    simulation.advance(5_000);
+    let served_after_heal = simulation.served().to_vec();
+    simulation.advance(5_000);
+    for workspace in WORKSPACES {
         assert!(
-            drive.served()[workspace] > back[workspace],
-            "{workspace} starves after the cut"
+            simulation.served()[workspace] > served_after_heal[workspace],
+            "{workspace} starves after the partition"
         );
     }
-    let gap_s = gap_over(&mut drive, 15_000);
+    let gap_s = measure_gap_s(&mut simulation, 15_000);
     assert!(
         gap_s <= GAP_BOUND_S + 2.0,
-        "{gap_s:.2} s while leads are worked off"
+        "{gap_s:.2} s while leads shrink"
     );
-    let later_s = gap_over(&mut drive, 15_000);
+    let later_s = measure_gap_s(&mut simulation, 15_000);
     assert!(later_s <= GAP_BOUND_S, "{later_s:.2} s later");
 }
 
 #[test]
-fn a_daemon_paused_past_its_lease_starts_nothing_and_its_slots_are_used_by_others() {
-    let mut drive = settled(6);
-    drive.set_paused(4, true);
-    drive.run(10_000);
-    drive.take_utilisation();
-    drive.run(5_000);
-    let utilisation = drive.take_utilisation();
-    assert!(utilisation >= 0.97, "{utilisation:.3} while it is paused");
-    drive.set_paused(4, false);
-    drive.run(5_000);
-    let gap_s = gap_over(&mut drive, 10_000);
+fn a_paused_instance_starts_nothing_after_its_lease_and_others_use_its_slots() {
+    let mut simulation = settled_fleet(6);
+    simulation.set_paused(4, true);
+    simulation.advance(10_000);
+    simulation.take_utilisation();
+    simulation.advance(5_000);
+    let utilisation = simulation.take_utilisation();
+    assert!(utilisation >= 0.97, "{utilisation:.3} while the instance is paused");
+    simulation.set_paused(4, false);
+    simulation.advance(5_000);
+    let gap_s = measure_gap_s(&mut simulation, 10_000);
     assert!(gap_s <= GAP_BOUND_S, "{gap_s:.2} s after");
-    assert_no_overload(&drive);
+    assert_no_overload(&simulation);
 }
 
 #[test]
-fn two_failures_at_once_are_survived() {
-    let mut drive = settled(7);
-    drive.set_cut(1, true);
-    drive.restart_allocator(0);
-    drive.set_paused(0, true);
-    drive.run(8_000);
-    drive.set_paused(0, false);
-    drive.set_cut(1, false);
-    drive.run(10_000);
-    let gap_s = gap_over(&mut drive, 15_000);
+fn simultaneous_failures_do_not_leave_a_fairness_gap() {
+    let mut simulation = settled_fleet(7);
+    simulation.set_partitioned(1, true);
+    simulation.restart_allocator(0);
+    simulation.set_paused(0, true);
+    simulation.advance(8_000);
+    simulation.set_paused(0, false);
+    simulation.set_partitioned(1, false);
+    simulation.advance(10_000);
+    let gap_s = measure_gap_s(&mut simulation, 15_000);
     assert!(gap_s <= GAP_BOUND_S + 1.0, "{gap_s:.2} s after");
-    assert_no_overload(&drive);
+    assert_no_overload(&simulation);
 }
 
 #[test]
-fn a_workspace_that_comes_back_gets_its_part_and_no_more() {
-    let mut drive = settled(8);
-    drive.set_idle(10, true);
-    drive.run(20_000);
-    drive.set_idle(10, false);
-    drive.run(3_000);
-    let before = drive.served().to_vec();
-    drive.run(10_000);
-    let got = drive.served()[10] - before[10];
+fn a_returning_workspace_gets_its_fair_share_and_no_more() {
+    let mut simulation = settled_fleet(8);
+    simulation.set_idle(10, true);
+    simulation.advance(20_000);
+    simulation.set_idle(10, false);
+    simulation.advance(3_000);
+    let served_before = simulation.served().to_vec();
+    simulation.advance(10_000);
+    let received = simulation.served()[10] - served_before[10];
     let fair = 162.0 * 50.0 / 16.0 * 10.0;
     assert!(
-        (0.6 * fair..1.5 * fair).contains(&got),
-        "{got:.0} of a fair {fair:.0}"
+        (0.6 * fair..1.5 * fair).contains(&received),
+        "received {received:.0}, fair share is {fair:.0}"
     );
 }
--- a/crates/reedsail_scheduling/tests/drive/mod.rs
+++ b/crates/reedsail_scheduling/tests/fleet_simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Drives the decision crate's schedulers and allocators directly, in a time of its own.
+//! Simulates a fleet of schedulers and allocators in virtual time.
 //!
-//! No sockets, no threads: what is measured and tested here is the decisions alone. Backlogged
-//! workspaces always have work waiting wherever their callers are.
+//! There are no sockets and no threads, so tests measure only the scheduling decisions. Backlogged workspaces
+//! always have waiting requests on every instance that their callers reach.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,35 +26,35 @@
 use reedsail_scheduling::WorkspaceSetup;
 use reedsail_scheduling::WorkspaceTable;
 
-/// The step of the driven time.
+/// The step of the virtual time.
 const STEP_MS: u64 = 10;
 
-/// What is driven.
+/// The parameters of a simulated fleet.
 #[derive(Clone, Debug)]
-pub(crate) struct DriveSetup {
-    /// Failure domains.
+pub(crate) struct SimulationSetup {
+    /// The number of failure domains.
     pub(crate) domains: usize,
-    /// Daemons in each.
-    pub(crate) daemons_per_domain: usize,
-    /// Backend servers in each.
+    /// Instances per domain.
+    pub(crate) instances_per_domain: usize,
+    /// Backend servers per domain.
     pub(crate) servers_per_domain: usize,
-    /// Slots of each server.
+    /// Slots per server.
     pub(crate) slots: u32,
-    /// The daemons that each workspace's callers reach.
-    pub(crate) reach: Vec<Vec<usize>>,
+    /// The instances that each workspace's callers reach.
+    pub(crate) reachable: Vec<Vec<usize>>,
     /// The weight of each workspace.
     pub(crate) weights: Vec<f64>,
-    /// Cost of a request, drawn evenly between the two.
+    /// The minimum and maximum cost of a request, uniformly distributed.
     pub(crate) cost: (u64, u64),
-    /// Time between two units of cost on one slot.
+    /// The time per unit of cost on one slot.
     pub(crate) unit_ms: u64,
-    /// Time between two reports of a daemon.
+    /// The interval between two reports of an instance.
     pub(crate) report_ms: u64,
-    /// Time between two reports of an allocator to another domain's.
+    /// The interval between two reports of an allocator to another domain's.
     pub(crate) domain_report_ms: u64,
     /// The allocators' settings.
     pub(crate) config: AllocatorConfig,
-    /// The seed.
+    /// The seed of the random requests.
     pub(crate) seed: u64,
 }
 
@@ -65,78 +65,78 @@
     next_unit_at: TimeMs,
 }
 
-struct DriveDaemon {
+struct SimulatedInstance {
     domain: usize,
     scheduler: Scheduler<FleetPolicy, u64>,
     running: Vec<RunningRequest>,
     next_report_at: TimeMs,
     session: u32,
-    allocator_start: u32,
-    paused: bool,
+    seen_allocator_start: u32,
+    is_paused: bool,
 }
 
-/// The driven fleet.
-pub(crate) struct Drive {
-    setup: DriveSetup,
+/// The simulated fleet.
+pub(crate) struct FleetSimulation {
+    setup: SimulationSetup,
     now: TimeMs,
-    daemons: Vec<DriveDaemon>,
+    instances: Vec<SimulatedInstance>,
     allocators: Vec<Allocator>,
-    /// Counts the starts of each domain's allocator.
-    starts: Vec<u32>,
-    seen_starts: BTreeMap<(usize, usize), u32>,
+    /// The number of starts of each domain's allocator.
+    allocator_starts: Vec<u32>,
+    seen_sessions: BTreeMap<(usize, usize), u32>,
     next_domain_report_at: Vec<TimeMs>,
-    cut: Vec<bool>,
+    is_partitioned: Vec<bool>,
     served: Vec<f64>,
     busy_slot_ms: f64,
     offered_slot_ms: f64,
     random: StdRng,
-    idle: Vec<bool>,
+    is_idle: Vec<bool>,
 }
 
-impl Drive {
-    /// Makes a fleet in which every workspace is backlogged.
-    pub(crate) fn new(setup: DriveSetup) -> Self {
+impl FleetSimulation {
+    /// Creates a fleet in which every workspace is backlogged.
+    pub(crate) fn new(setup: SimulationSetup) -> Self {
         let now = TimeMs(1_000);
-        let mut daemons = Vec::new();
+        let mut instances = Vec::new();
         for domain in 0..setup.domains {
-            for _ in 0..setup.daemons_per_domain {
+            for _ in 0..setup.instances_per_domain {
                 let mut scheduler = Scheduler::new(FleetPolicy, 1);
                 scheduler.configure(&all_servers(&setup), all_workspaces(&setup));
-                daemons.push(DriveDaemon {
+                instances.push(SimulatedInstance {
                     domain,
                     scheduler,
                     running: Vec::new(),
-                    // Daemons do not report at the same moment.
-                    next_report_at: now.plus_ms(daemons.len() as u64 * 37 % setup.report_ms.max(1)),
+                    // Instances report at different times.
+                    next_report_at: now.plus_ms(instances.len() as u64 * 37 % setup.report_ms.max(1)),
                     session: 1,
-                    allocator_start: 0,
-                    paused: false,
+                    seen_allocator_start: 0,
+                    is_paused: false,
                 });
             }
         }
-        let mut drive = Self {
+        let mut simulation = Self {
             allocators: (0..setup.domains)
                 .map(|_| Allocator::new(setup.config, now))
                 .collect(),
-            starts: vec![0; setup.domains],
-            seen_starts: BTreeMap::new(),
+            allocator_starts: vec![0; setup.domains],
+            seen_sessions: BTreeMap::new(),
             next_domain_report_at: (0..setup.domains)
                 .map(|domain| now.plus_ms(domain as u64 * 173))
                 .collect(),
-            cut: vec![false; setup.domains],
-            served: vec![0.0; setup.reach.len()],
+            is_partitioned: vec![false; setup.domains],
+            served: vec![0.0; setup.reachable.len()],
             busy_slot_ms: 0.0,
             offered_slot_ms: 0.0,
             random: StdRng::seed_from_u64(setup.seed),
-            idle: vec![false; setup.reach.len()],
+            is_idle: vec![false; setup.reachable.len()],
             now,
-            daemons,
+            instances,
             setup,
         };
-        for domain in 0..drive.setup.domains {
-            drive.configure_allocator(domain);
+        for domain in 0..simulation.setup.domains {
+            simulation.configure_allocator(domain);
         }
-        drive
+        simulation
     }
 
     fn configure_allocator(&mut self, domain: usize) {
@@ -145,30 +145,31 @@
             slots: self.setup.slots,
         });
         let allocator = &mut self.allocators[domain];
-        allocator.set_servers(servers.collect(), self.setup.daemons_per_domain);
+        allocator.set_servers(servers.collect(), self.setup.instances_per_domain);
         allocator.set_workspaces(all_workspaces(&self.setup));
     }
 
-    /// Has a domain's allocator start again with nothing, as on another daemon.
+    /// Restarts a domain's allocator without state, as on another instance.
     pub(crate) fn restart_allocator(&mut self, domain: usize) {
         self.allocators[domain] = Allocator::new(self.setup.config, self.now);
-        self.starts[domain] += 1;
+        self.allocator_starts[domain] += 1;
         self.configure_allocator(domain);
     }
 
-    /// Cuts a domain off from the others, or mends the cut.
-    pub(crate) fn set_cut(&mut self, domain: usize, cut: bool) {
-        self.cut[domain] = cut;
+    /// Partitions a domain from the others, or heals the partition.
+    pub(crate) fn set_partitioned(&mut self, domain: usize, is_partitioned: bool) {
+        self.is_partitioned[domain] = is_partitioned;
     }
 
-    /// Has a daemon stand still: it neither reports nor ticks, while its requests go on.
-    pub(crate) fn set_paused(&mut self, daemon: usize, paused: bool) {
-        self.daemons[daemon].paused = paused;
+    /// Pauses or resumes an instance's control thread: while paused, the instance neither reports nor ticks,
+    /// but its requests continue.
+    pub(crate) fn set_paused(&mut self, instance: usize, is_paused: bool) {
+        self.instances[instance].is_paused = is_paused;
     }
 
-    /// Has a workspace's callers stop, or go on.
-    pub(crate) fn set_idle(&mut self, workspace: usize, idle: bool) {
-        self.idle[workspace] = idle;
+    /// Stops or resumes a workspace's callers.
+    pub(crate) fn set_idle(&mut self, workspace: usize, is_idle: bool) {
+        self.is_idle[workspace] = is_idle;
     }
 
     /// Returns the cost that each workspace has received.
@@ -176,7 +177,7 @@
         &self.served
     }
 
-    /// Returns busy by offered slot time so far, and begins to count again.
+    /// Returns the ratio of busy to offered slot time since the last call, and resets both counters.
     pub(crate) fn take_utilisation(&mut self) -> f64 {
         let ratio = self.busy_slot_ms / self.offered_slot_ms.max(1.0);
         self.busy_slot_ms = 0.0;
@@ -184,24 +185,24 @@
         ratio
     }
 
-    /// Returns how many requests run on each server, and its slots.
+    /// Returns the number of running requests and of slots for each server.
     pub(crate) fn server_loads(&self) -> Vec<(u32, u32)> {
         let mut loads = vec![0; self.setup.domains * self.setup.servers_per_domain];
-        for request in self.daemons.iter().flat_map(|daemon| &daemon.running) {
+        for request in self.instances.iter().flat_map(|instance| &instance.running) {
             loads[usize::from(request.running.server.0)] += 1;
         }
         loads.into_iter().map(|load| (load, self.setup.slots)).collect()
     }
 
-    /// Lets so many milliseconds pass.
-    pub(crate) fn run(&mut self, span_ms: u64) {
+    /// Advances the simulation by `span_ms`.
+    pub(crate) fn advance(&mut self, span_ms: u64) {
         for _ in 0..span_ms / STEP_MS {
             self.now = self.now.plus_ms(STEP_MS);
             self.advance_requests();
             self.refill();
             self.exchange_reports();
             self.exchange_domain_reports();
-            let running: usize = self.daemons.iter().map(|daemon| daemon.running.len()).sum();
+            let running: usize = self.instances.iter().map(|instance| instance.running.len()).sum();
             let slots = self.setup.domains * self.setup.servers_per_domain * self.setup.slots as usize;
             self.busy_slot_ms += running as f64 * STEP_MS as f64;
             self.offered_slot_ms += slots as f64 * STEP_MS as f64;
@@ -210,41 +211,41 @@
 
     fn advance_requests(&mut self) {
         let now = self.now;
-        for daemon in &mut self.daemons {
+        for instance in &mut self.instances {
             let mut index = 0;
-            while index < daemon.running.len() {
-                let request = &mut daemon.running[index];
+            while index < instance.running.len() {
+                let request = &mut instance.running[index];
                 while request.next_unit_at <= now && request.received < request.cost {
                     request.received += 1;
                     request.next_unit_at = request.next_unit_at.plus_ms(self.setup.unit_ms);
                     self.served[request.running.workspace.0 as usize] += 1.0;
                 }
                 let received = request.received as f64;
-                daemon.scheduler.progress(&mut request.running, received);
+                instance.scheduler.progress(&mut request.running, received);
                 if request.received == request.cost {
-                    let ended = daemon.running.swap_remove(index);
-                    daemon.scheduler.finish(ended.running, ended.cost as f64, true);
+                    let ended = instance.running.swap_remove(index);
+                    instance.scheduler.finish(ended.running, ended.cost as f64, true);
                 } else {
                     index += 1;
                 }
             }
-            if !daemon.paused {
-                // With deadlines far ahead, nothing expires.
-                daemon.scheduler.tick(now);
+            if !instance.is_paused {
+                // Deadlines are far in the future, so no request expires.
+                instance.scheduler.tick(now);
             }
         }
     }
 
-    /// Keeps enough work waiting, and starts what has a slot.
+    /// Keeps the queues filled and starts dispatched requests.
     fn refill(&mut self) {
         let now = self.now;
-        for (workspace, reach) in self.setup.reach.iter().enumerate() {
-            if self.idle[workspace] {
+        for (workspace, reachable) in self.setup.reachable.iter().enumerate() {
+            if self.is_idle[workspace] {
                 continue;
             }
             let key = WorkspaceKey(workspace as u32);
-            for daemon in reach {
-                let scheduler = &mut self.daemons[*daemon].scheduler;
+            for instance in reachable {
+                let scheduler = &mut self.instances[*instance].scheduler;
                 while scheduler.queue().queued_of(key) < 200 {
                     let cost = self.random.random_range(self.setup.cost.0..=self.setup.cost.1);
                     let waiting = Waiting {
@@ -262,9 +263,9 @@
                 }
             }
         }
-        for daemon in &mut self.daemons {
-            for dispatch in daemon.scheduler.dispatch(now) {
-                daemon.running.push(RunningRequest {
+        for instance in &mut self.instances {
+            for dispatch in instance.scheduler.dispatch(now) {
+                instance.running.push(RunningRequest {
                     running: dispatch.running,
                     cost: dispatch.waker,
                     received: 0,
@@ -276,21 +277,21 @@
 
     fn exchange_reports(&mut self) {
         let now = self.now;
-        for (index, daemon) in self.daemons.iter_mut().enumerate() {
-            if daemon.paused || daemon.next_report_at > now {
+        for (index, instance) in self.instances.iter_mut().enumerate() {
+            if instance.is_paused || instance.next_report_at > now {
                 continue;
             }
-            daemon.next_report_at = now.plus_ms(self.setup.report_ms);
-            let report = daemon.scheduler.report(now);
-            let grant = self.allocators[daemon.domain].on_report(daemon_name(index), &report, now);
-            let start = self.starts[daemon.domain];
-            if start != daemon.allocator_start {
-                daemon.allocator_start = start;
-                daemon.session += 1;
-                daemon.scheduler.begin_session(daemon.session);
+            instance.next_report_at = now.plus_ms(self.setup.report_ms);
+            let report = instance.scheduler.report(now);
+            let grant = self.allocators[instance.domain].on_report(instance_name(index), &report, now);
+            let start_count = self.allocator_starts[instance.domain];
+            if start_count != instance.seen_allocator_start {
+                instance.seen_allocator_start = start_count;
+                instance.session += 1;
+                instance.scheduler.begin_session(instance.session);
             }
             let deadline = now.plus_ms(self.setup.config.lease_ms);
-            daemon.scheduler.apply_grant(&grant, deadline);
+            instance.scheduler.apply_grant(&grant, deadline);
         }
     }
 
@@ -302,13 +303,13 @@
             }
             self.next_domain_report_at[from] = now.plus_ms(self.setup.domain_report_ms);
             for to in 0..self.setup.domains {
-                if to == from || self.cut[from] || self.cut[to] {
+                if to == from || self.is_partitioned[from] || self.is_partitioned[to] {
                     continue;
                 }
-                let seen = (self.starts[from], self.starts[to]);
-                let session = 1 + seen.0 * 1_000 + seen.1;
-                if self.seen_starts.get(&(from, to)) != Some(&session) {
-                    self.seen_starts.insert((from, to), session);
+                let starts = (self.allocator_starts[from], self.allocator_starts[to]);
+                let session = 1 + starts.0 * 1_000 + starts.1;
+                if self.seen_sessions.get(&(from, to)) != Some(&session) {
+                    self.seen_sessions.insert((from, to), session);
                     self.allocators[from].begin_domain_session(domain_name(to), session);
                 }
                 let report = self.allocators[from].domain_report(domain_name(to), now);
@@ -320,61 +321,61 @@
     }
 }
 
-/// Watches the gap between backlogged workspaces while a fleet is driven.
+/// Tracks the fairness gap between backlogged workspaces during a simulation.
 #[derive(Clone, Debug)]
-pub(crate) struct GapWatch {
-    start: Vec<f64>,
+pub(crate) struct FairnessGapTracker {
+    baseline: Vec<f64>,
     low: Vec<f64>,
     high: Vec<f64>,
     fair_per_s: f64,
     weights: Vec<f64>,
-    watched: Vec<usize>,
+    workspaces: Vec<usize>,
 }
 
-impl GapWatch {
-    /// Begins to watch the given workspaces.
-    pub(crate) fn begin(drive: &Drive, watched: Vec<usize>) -> Self {
-        let setup = &drive.setup;
+impl FairnessGapTracker {
+    /// Starts tracking the given workspaces.
+    pub(crate) fn start(simulation: &FleetSimulation, workspaces: Vec<usize>) -> Self {
+        let setup = &simulation.setup;
         let slots = setup.domains * setup.servers_per_domain * setup.slots as usize;
         let capacity_per_s = slots as f64 * 1_000.0 / setup.unit_ms as f64;
         let weight: f64 = setup.weights.iter().sum();
-        let pairs = watched.len() * watched.len();
+        let pairs = workspaces.len() * workspaces.len();
         Self {
-            start: drive.served().to_vec(),
+            baseline: simulation.served().to_vec(),
             low: vec![0.0; pairs],
             high: vec![0.0; pairs],
             fair_per_s: capacity_per_s / weight,
             weights: setup.weights.clone(),
-            watched,
+            workspaces,
         }
     }
 
-    /// Takes note of what was served by now.
-    pub(crate) fn look(&mut self, drive: &Drive) {
+    /// Records the cost served so far.
+    pub(crate) fn record(&mut self, simulation: &FleetSimulation) {
         let served =
-            |workspace: usize| (drive.served()[workspace] - self.start[workspace]) / self.weights[workspace];
-        for (row, one) in self.watched.iter().enumerate() {
-            for (column, other) in self.watched.iter().enumerate() {
-                let place = row * self.watched.len() + column;
-                let difference = served(*one) - served(*other);
-                self.low[place] = self.low[place].min(difference);
-                self.high[place] = self.high[place].max(difference);
+            |workspace: usize| (simulation.served()[workspace] - self.baseline[workspace]) / self.weights[workspace];
+        for (row, first) in self.workspaces.iter().enumerate() {
+            for (column, second) in self.workspaces.iter().enumerate() {
+                let index = row * self.workspaces.len() + column;
+                let difference = served(*first) - served(*second);
+                self.low[index] = self.low[index].min(difference);
+                self.high[index] = self.high[index].max(difference);
             }
         }
     }
 
-    /// Returns the largest gap within any part of the time watched, in seconds of a fair part.
+    /// Returns the largest gap over any interval of the tracked time, in seconds at a fair share.
     pub(crate) fn gap_s(&self) -> f64 {
         let ranges = self.low.iter().zip(&self.high).map(|(low, high)| high - low);
         ranges.fold(0.0, f64::max) / self.fair_per_s
     }
 }
 
-fn server_key(setup: &DriveSetup, domain: usize, index: usize) -> ServerKey {
+fn server_key(setup: &SimulationSetup, domain: usize, index: usize) -> ServerKey {
     ServerKey((domain * setup.servers_per_domain + index) as u16)
 }
 
-fn all_servers(setup: &DriveSetup) -> Vec<ServerSetup> {
+fn all_servers(setup: &SimulationSetup) -> Vec<ServerSetup> {
     (0..setup.domains * setup.servers_per_domain)
         .map(|index| ServerSetup {
             server: ServerKey(index as u16),
@@ -383,7 +384,7 @@
         .collect()
 }
 
-fn all_workspaces(setup: &DriveSetup) -> Arc<WorkspaceTable> {
+fn all_workspaces(setup: &SimulationSetup) -> Arc<WorkspaceTable> {
     let weights = setup.weights.iter().enumerate();
     Arc::new(WorkspaceTable::new(weights.map(|(index, weight)| {
         WorkspaceSetup {
@@ -394,7 +395,7 @@
     })))
 }
 
-fn daemon_name(index: usize) -> NameHash {
+fn instance_name(index: usize) -> NameHash {
     NameHash(1 + index as u32)
 }
 
@@ -402,20 +403,20 @@
     NameHash(1_000_000 + index as u32)
 }
 
-/// The shape of the bars: a few workspaces on all daemons, the others on one to four, six of them
-/// on the very same one.
-pub(crate) fn uneven_setup(seed: u64) -> DriveSetup {
+/// The load pattern of the fairness bounds: a few workspaces use all instances, the others one to four, six
+/// of them the same one.
+pub(crate) fn uneven_setup(seed: u64) -> SimulationSetup {
     let all: Vec<usize> = (0..9).collect();
-    let mut reach = vec![all.clone(), all.clone(), all];
-    reach.extend((0..6).map(|_| vec![0]));
-    reach.extend((6..13).map(|index| (0..2 + index % 3).map(|step| (index + step) % 9).collect()));
-    DriveSetup {
+    let mut reachable = vec![all.clone(), all.clone(), all];
+    reachable.extend((0..6).map(|_| vec![0]));
+    reachable.extend((6..13).map(|index| (0..2 + index % 3).map(|step| (index + step) % 9).collect()));
+    SimulationSetup {
         domains: 3,
-        daemons_per_domain: 3,
+        instances_per_domain: 3,
         servers_per_domain: 3,
         slots: 18,
-        weights: vec![1.0; reach.len()],
-        reach,
+        weights: vec![1.0; reachable.len()],
+        reachable,
         cost: (20, 180),
         unit_ms: 20,
         report_ms: 500,
--- a/crates/reedsail_scheduling/tests/scheduler.rs
+++ b/crates/reedsail_scheduling/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! One daemon's queues and slots: order, limits, leases, health, affinity.
+//! The queues and slots of a single instance: order, limits, leases, health and affinity.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 use reedsail_scheduling::WorkspaceTable;
 
 const NOW: TimeMs = TimeMs(1_000);
-const FAR: TimeMs = TimeMs(1_000_000);
+const FAR_FUTURE: TimeMs = TimeMs(1_000_000);
 
 type TestScheduler = Scheduler<FleetPolicy, u32>;
 
@@ -67,7 +67,7 @@
     Waiting {
         workspace: WorkspaceKey(workspace),
         class: Class::Interactive,
-        deadline: FAR,
+        deadline: FAR_FUTURE,
         body_bytes: 10,
         prefix: None,
         preemptible: false,
@@ -76,19 +76,19 @@
 }
 
 #[test]
-fn a_free_slot_is_used_without_asking_anybody() {
+fn a_free_slot_is_used_without_a_report() {
     let mut scheduler = scheduler(1, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 1)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 1)], &[]), FAR_FUTURE);
     scheduler.submit(request(0, 1), NOW).unwrap();
-    // One call, no report in between: the first token waits for no other daemon.
+    // There is no report before the dispatch: the first token does not depend on another instance.
     assert_eq!(scheduler.dispatch(NOW).len(), 1);
     assert!(!scheduler.needs_urgent_report());
 }
 
 #[test]
-fn shares_decide_who_is_served() {
+fn workspaces_are_served_in_proportion_to_their_shares() {
     let mut scheduler = scheduler(2, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 4)], &[(0, 3.0), (1, 1.0)]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 4)], &[(0, 3.0), (1, 1.0)]), FAR_FUTURE);
     for number in 0..200 {
         scheduler.submit(request(0, number), NOW).unwrap();
         scheduler.submit(request(1, number), NOW).unwrap();
@@ -108,12 +108,12 @@
     }
     assert!(
         (28..=32).contains(&served[0]),
-        "three quarters of 40, but {served:?}"
+        "expected three quarters of 40, got {served:?}"
     );
 }
 
 #[test]
-fn interactive_goes_before_batch_and_the_earlier_deadline_first() {
+fn interactive_runs_before_batch_and_earlier_deadlines_run_first() {
     let mut scheduler = scheduler(1, QueueLimits::default());
     let mut batch = request(0, 1);
     batch.class = Class::Batch;
@@ -123,7 +123,7 @@
     for waiting in [batch, later, earlier] {
         scheduler.submit(waiting, NOW).unwrap();
     }
-    scheduler.apply_grant(&grant(&[(0, 3)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 3)], &[]), FAR_FUTURE);
     let order: Vec<u32> = scheduler
         .dispatch(NOW)
         .iter()
@@ -152,16 +152,16 @@
         scheduler.submit(request(0, 4), NOW).unwrap_err().0,
         ErrorKind::QueueFull
     );
-    scheduler.apply_grant(&grant(&[(0, 8)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 8)], &[]), FAR_FUTURE);
     assert_eq!(
         scheduler.dispatch(NOW).len(),
         1,
-        "one runs at once, as the limit says"
+        "the limit allows one running request"
     );
 }
 
 #[test]
-fn a_lapsed_lease_gives_no_slot_even_before_a_tick_notices() {
+fn an_expired_lease_yields_no_slot_even_before_a_tick() {
     let mut scheduler = scheduler(1, QueueLimits::default());
     scheduler.apply_grant(&grant(&[(0, 4)], &[]), TimeMs(2_000));
     scheduler.submit(request(0, 1), NOW).unwrap();
@@ -171,18 +171,18 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn a_leaving_server_gets_no_new_requests() {
     let mut scheduler = scheduler(1, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 4)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 4)], &[]), FAR_FUTURE);
     scheduler.set_leaving(|server| server == ServerKey(0));
     scheduler.submit(request(0, 1), NOW).unwrap();
     assert!(scheduler.dispatch(NOW).is_empty());
 }
 
 #[test]
-fn a_failing_server_rests_and_returns_slowly() {
+fn a_failing_server_rests_and_returns_in_a_slow_start() {
     let mut scheduler = scheduler(1, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 4)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 4)], &[]), FAR_FUTURE);
     for _ in 0..2 {
         assert!(!scheduler.record_failure(ServerKey(0), NOW));
     }
@@ -193,18 +193,18 @@
     for number in 0..6 {
         scheduler.submit(request(0, number), NOW).unwrap();
     }
-    assert!(scheduler.dispatch(NOW).is_empty(), "it rests");
-    let back = TimeMs(NOW.0 + 600);
-    let mut first = scheduler.dispatch(back);
-    assert_eq!(first.len(), 1, "one at first");
+    assert!(scheduler.dispatch(NOW).is_empty(), "the server rests");
+    let after_rest = TimeMs(NOW.0 + 600);
+    let mut first = scheduler.dispatch(after_rest);
+    assert_eq!(first.len(), 1, "one request at first");
     scheduler.finish(first.remove(0).running, 1.0, true);
-    assert_eq!(scheduler.dispatch(back).len(), 2, "two after the first answer");
+    assert_eq!(scheduler.dispatch(after_rest).len(), 2, "two after the first answer");
 }
 
 #[test]
-fn a_cached_prefix_draws_requests_unless_its_server_is_much_fuller() {
+fn a_cached_prefix_attracts_requests_unless_its_server_is_much_more_loaded() {
     let mut scheduler = scheduler(1, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 8), (1, 8)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 8), (1, 8)], &[]), FAR_FUTURE);
     let mut servers = Vec::new();
     for number in 0..12 {
         let mut waiting = request(0, number);
@@ -219,31 +219,31 @@
     }
     let first = servers[0];
     let early = servers.iter().take(4).filter(|server| **server == first).count();
-    assert_eq!(early, 4, "affinity holds while the loads are near");
+    assert_eq!(early, 4, "affinity holds while loads are similar");
     assert!(
         servers.iter().any(|server| *server != first),
-        "and yields to load"
+        "affinity yields to load"
     );
 }
 
 #[test]
-fn a_wait_that_passes_the_deadline_is_refused_early() {
+fn a_request_that_would_miss_its_deadline_is_refused_early() {
     let mut scheduler = scheduler(1, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 1)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 1)], &[]), FAR_FUTURE);
     for number in 0..100 {
         scheduler.submit(request(0, number), NOW).unwrap();
     }
-    // One request of 50 units a second for five seconds.
+    // One request of 50 units per second, for five seconds.
     for second in 1..=5 {
         let at = TimeMs(NOW.0 + second * 1_000);
         let running = scheduler.dispatch(at).remove(0).running;
         scheduler.finish(running, 50.0, true);
         scheduler.tick(at);
     }
-    let mut hasty = request(0, 101);
-    hasty.deadline = TimeMs(NOW.0 + 10_000);
+    let mut urgent = request(0, 101);
+    urgent.deadline = TimeMs(NOW.0 + 10_000);
     assert_eq!(
-        scheduler.submit(hasty, TimeMs(6_000)).unwrap_err().0,
+        scheduler.submit(urgent, TimeMs(6_000)).unwrap_err().0,
         ErrorKind::WouldMissDeadline
     );
     let mut patient = request(0, 102);
@@ -254,7 +254,7 @@
 #[test]
 fn a_retry_takes_a_slot_on_another_server() {
     let mut scheduler = scheduler(1, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 1), (1, 1)], &[]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 1), (1, 1)], &[]), FAR_FUTURE);
     scheduler.submit(request(0, 1), NOW).unwrap();
     let running = scheduler.dispatch(NOW).remove(0).running;
     let first = running.server;
@@ -263,17 +263,18 @@
         .expect("the other server is free");
     assert_ne!(moved.server, first);
     let both = [first, moved.server];
-    let stuck = scheduler
+    let unmoved = scheduler
         .move_to_untried_server(moved, &both, NOW)
         .expect_err("every server was tried");
-    scheduler.finish(stuck, 1.0, true);
+    scheduler.finish(unmoved, 1.0, true);
     assert_eq!(scheduler.slot_counts().1, 0, "no slot is left in use");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Whatever happens, slots in use match what runs, and every request ends up somewhere.
+    /// After any sequence of steps, the slots in use match the running requests, and every finished request
+    /// releases its slot.
     #[test]
     fn no_slot_leaks(steps in proptest::collection::vec((0_u8..6, any::<u8>()), 1..200)) {
         let mut scheduler = scheduler(3, QueueLimits { queued_max: 50, ..QueueLimits::default() });
@@ -317,10 +318,10 @@
     }
 }
 
-/// Fills all eight slots with streams of workspace 0.
-fn flooded() -> (TestScheduler, Vec<Running>) {
+/// Returns a scheduler whose eight slots all run streams of workspace 0.
+fn scheduler_full_of_streams() -> (TestScheduler, Vec<Running>) {
     let mut scheduler = scheduler(2, QueueLimits::default());
-    scheduler.apply_grant(&grant(&[(0, 8)], &[(0, 4.0), (1, 4.0)]), FAR);
+    scheduler.apply_grant(&grant(&[(0, 8)], &[(0, 4.0), (1, 4.0)]), FAR_FUTURE);
     for number in 0..20 {
         let mut waiting = request(0, number);
         waiting.preemptible = true;
@@ -335,7 +336,7 @@
     (scheduler, running)
 }
 
-fn raised(running: &[Running]) -> usize {
+fn preempted_count(running: &[Running]) -> usize {
     running
         .iter()
         .filter(|running| running.preempt.is_raised())
@@ -343,15 +344,15 @@
 }
 
 #[test]
-fn a_workspace_short_of_its_share_takes_slots_back() {
-    let (mut scheduler, mut running) = flooded();
+fn a_workspace_below_its_share_preempts_another() {
+    let (mut scheduler, mut running) = scheduler_full_of_streams();
     let later = NOW.plus_ms(200);
     for number in 0..4 {
         scheduler.submit(request(1, number), later).unwrap();
     }
     assert_eq!(scheduler.preempt_excess(later), 4);
-    assert_eq!(raised(&running), 4);
-    assert_eq!(scheduler.preempt_excess(later), 0, "no more than are needed");
+    assert_eq!(preempted_count(&running), 4);
+    assert_eq!(scheduler.preempt_excess(later), 0, "no more preemptions than needed");
     running.sort_by_key(|running| running.preempt.is_raised());
     for ended in running.drain(4..) {
         scheduler.finish(ended, 10.0, false);
@@ -365,26 +366,26 @@
 }
 
 #[test]
-fn a_lease_that_shrinks_calls_streams_back_but_for_what_wanders() {
-    let (mut scheduler, running) = flooded();
-    scheduler.apply_grant(&grant(&[(0, 2)], &[(0, 2.0)]), FAR);
+fn a_shrunk_lease_preempts_streams_beyond_the_tolerance() {
+    let (mut scheduler, running) = scheduler_full_of_streams();
+    scheduler.apply_grant(&grant(&[(0, 2)], &[(0, 2.0)]), FAR_FUTURE);
     assert_eq!(
         scheduler.preempt_excess(NOW.plus_ms(200)),
         5,
-        "eight less two less one"
+        "eight in use, two leased, one tolerated"
     );
-    assert_eq!(raised(&running), 5);
+    assert_eq!(preempted_count(&running), 5);
 }
 
 #[test]
-fn nothing_is_called_back_without_a_grant_in_force_or_right_after_the_start() {
-    let (mut scheduler, running) = flooded();
+fn nothing_is_preempted_without_a_valid_grant_or_right_after_dispatch() {
+    let (mut scheduler, running) = scheduler_full_of_streams();
     scheduler.submit(request(1, 1), NOW).unwrap();
     assert_eq!(
         scheduler.preempt_excess(NOW.plus_ms(50)),
         0,
-        "they have just begun"
+        "the requests were just dispatched"
     );
-    assert_eq!(scheduler.preempt_excess(FAR), 0, "the grant has lapsed");
-    assert_eq!(raised(&running), 0);
+    assert_eq!(scheduler.preempt_excess(FAR_FUTURE), 0, "the grant has expired");
+    assert_eq!(preempted_count(&running), 0);
 }
