--- a/crates/reedsail_bundle/src/follower.rs
+++ b/crates/reedsail_bundle/src/follower.rs
@@ -103,7 +103,10 @@
         else {
             return Err(RecordError::Unreadable("a peer sent no checkpoint".to_owned()));
         };
-        if !self.fold.adopt_version(AcceptedVersion { version, digest }, as_of) {
+        if !self
+            .fold
+            .adopt_version(AcceptedVersion { version, digest }, as_of)
+        {
             return Ok(false);
         }
         self.accepted = text.map(|text| (record.head, text));
--- a/crates/reedsail_daemon/src/service_cell.rs
+++ b/crates/reedsail_daemon/src/service_cell.rs
@@ -170,7 +170,10 @@
         let Some(running) = self.running.take() else {
             return false;
         };
-        let outcome = self.cell.lock().move_to_untried_server(running, tried, self.cell.clock.now());
+        let outcome = self
+            .cell
+            .lock()
+            .move_to_untried_server(running, tried, self.cell.clock.now());
         let moved = outcome.is_ok();
         self.running = Some(outcome.unwrap_or_else(|running| running));
         if moved {
--- a/crates/reedsail_scheduling/src/allocator/domain.rs
+++ b/crates/reedsail_scheduling/src/allocator/domain.rs
@@ -149,7 +149,9 @@
             .into_iter()
             .map(|(workspace, (queued, running))| {
                 let cost = self.domain_costs.get(&workspace).copied().unwrap_or(0.0);
-                let cost_before = link.and_then(|link| link.costs_at_session_start.get(&workspace)).copied();
+                let cost_before = link
+                    .and_then(|link| link.costs_at_session_start.get(&workspace))
+                    .copied();
                 DemandRow {
                     workspace,
                     queued,
--- a/crates/reedsail_scheduling/src/allocator/mod.rs
+++ b/crates/reedsail_scheduling/src/allocator/mod.rs
@@ -202,7 +202,7 @@
         self.members.len()
     }
 
-    /// Returns whether no member, in this domain or another, wants any slot.
+    /// Returns whether no member, in this domain or another, has any demand.
     pub fn is_idle(&self) -> bool {
         self.members
             .values()
@@ -217,7 +217,11 @@
     }
 
     fn is_settled(&self, now: TimeMs) -> bool {
-        let instances = self.members.values().filter(|member| member.is_instance()).count();
+        let instances = self
+            .members
+            .values()
+            .filter(|member| member.is_instance())
+            .count();
         now >= self.settle_deadline || instances >= self.instances_expected
     }
 
--- a/crates/reedsail_scheduling/src/allocator/targets.rs
+++ b/crates/reedsail_scheduling/src/allocator/targets.rs
@@ -91,15 +91,18 @@
     /// credit for a burst.
     fn update_floor(&mut self, active: &[WorkspaceKey], constrained: &[WorkspaceKey]) {
         let virtual_times = |keys: &[WorkspaceKey]| -> Vec<f64> {
-            keys
-                .iter()
+            keys.iter()
                 .map(|workspace| self.virtual_time(*workspace))
                 .collect()
         };
         let level = if constrained.is_empty() {
-            virtual_times(active).into_iter().fold(f64::NEG_INFINITY, f64::max)
+            virtual_times(active)
+                .into_iter()
+                .fold(f64::NEG_INFINITY, f64::max)
         } else {
-            virtual_times(constrained).into_iter().fold(f64::INFINITY, f64::min)
+            virtual_times(constrained)
+                .into_iter()
+                .fold(f64::INFINITY, f64::min)
         };
         if level.is_finite() {
             self.floor = self.floor.max(level);
--- a/crates/reedsail_scheduling/src/fair_queue.rs
+++ b/crates/reedsail_scheduling/src/fair_queue.rs
@@ -314,17 +314,21 @@
                 let workspace_weight = self.entry(*workspace).map_or(1.0, |entry| entry.weight);
                 (slots + share, weight + workspace_weight)
             });
-        let before = self.slots_per_weight;
+        let slots_per_weight_before = self.slots_per_weight;
         if slots > 0.0 {
             self.slots_per_weight = slots / weight;
         }
-        let (floor, after) = (self.local_time_floor, self.slots_per_weight);
+        let (floor, slots_per_weight_after) = (self.local_time_floor, self.slots_per_weight);
         for entry in self.all_entries_mut() {
-            entry.change_share(floor, before, None, after);
+            entry.change_share(floor, slots_per_weight_before, None, slots_per_weight_after);
         }
         for (workspace, share) in shares {
-            self.entry_mut(*workspace)
-                .change_share(floor, after, Some(*share), after);
+            self.entry_mut(*workspace).change_share(
+                floor,
+                slots_per_weight_after,
+                Some(*share),
+                slots_per_weight_after,
+            );
         }
     }
 
--- a/crates/reedsail_scheduling/src/membership.rs
+++ b/crates/reedsail_scheduling/src/membership.rs
@@ -192,7 +192,10 @@
 
     /// Returns the instances that are suspected now.
     pub fn suspects(&self, now: TimeMs) -> Vec<NameHash> {
-        let suspected = self.entries.iter().filter(|(_, entry)| now < entry.suspected_until);
+        let suspected = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| now < entry.suspected_until);
         suspected.map(|(name, _)| *name).collect()
     }
 
--- a/crates/reedsail_scheduling/src/retry_budget.rs
+++ b/crates/reedsail_scheduling/src/retry_budget.rs
@@ -19,9 +19,7 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self {
-            retries: RETRIES_MAX,
-        }
+        Self { retries: RETRIES_MAX }
     }
 }
 
--- a/crates/reedsail_scheduling/tests/allocator.rs
+++ b/crates/reedsail_scheduling/tests/allocator.rs
@@ -91,7 +91,11 @@
     let busy = report(&[(0, 10, 10), (1, 10, 10)], &[(0, 100, 20, 0)]);
     allocator.on_report(NameHash(1), &busy, START);
     let grant = allocator.on_report(NameHash(2), &report(&[], &[(1, 100, 0, 0)]), START);
-    assert_eq!(leased_slots(&grant), 0, "the first instance still holds all 20 slots");
+    assert_eq!(
+        leased_slots(&grant),
+        0,
+        "the first instance still holds all 20 slots"
+    );
     let later = START.plus_ms(500);
     let shrunk = allocator.on_report(NameHash(1), &busy, later);
     assert_eq!(leased_slots(&shrunk), 10, "half of the slots must be returned");
@@ -212,7 +216,11 @@
     lender.on_report(NameHash(1), &report(&[(0, 10, 0), (1, 10, 0)], &[]), later);
     lender.on_report(NameHash(1), &report(&[], &[]), later.plus_ms(100));
     let grant = lender.on_report(here, &borrower.domain_report(there, later), later.plus_ms(100));
-    assert_eq!(leased_slots(&grant), 20, "no workspace in the lender's domain needs slots");
+    assert_eq!(
+        leased_slots(&grant),
+        20,
+        "no workspace in the lender's domain needs slots"
+    );
     borrower.apply_domain_grant(there, &grant, later.plus_ms(3_000));
     let asked = borrower.domain_report(there, later.plus_ms(200));
     assert_eq!(asked.slots.iter().map(|row| row.held).sum::<u32>(), 20);
--- a/crates/reedsail_scheduling/tests/decisions.rs
+++ b/crates/reedsail_scheduling/tests/decisions.rs
@@ -69,7 +69,10 @@
     let mut simulation = settled_fleet(4);
     simulation.restart_allocator(0);
     let gap_s = measure_gap_s(&mut simulation, 10_000);
-    assert!(gap_s <= GAP_BOUND_S + 2.0, "{gap_s:.2} s while the new allocator settles");
+    assert!(
+        gap_s <= GAP_BOUND_S + 2.0,
+        "{gap_s:.2} s while the new allocator settles"
+    );
     let after_s = measure_gap_s(&mut simulation, 10_000);
     assert!(after_s <= GAP_BOUND_S, "{after_s:.2} s after");
     assert_no_overload(&simulation);
@@ -100,10 +103,7 @@
         );
     }
     let gap_s = measure_gap_s(&mut simulation, 15_000);
-    assert!(
-        gap_s <= GAP_BOUND_S + 2.0,
-        "{gap_s:.2} s while leads shrink"
-    );
+    assert!(gap_s <= GAP_BOUND_S + 2.0, "{gap_s:.2} s while leads shrink");
     let later_s = measure_gap_s(&mut simulation, 15_000);
     assert!(later_s <= GAP_BOUND_S, "{later_s:.2} s later");
 }
@@ -116,7 +116,10 @@
     simulation.take_utilisation();
     simulation.advance(5_000);
     let utilisation = simulation.take_utilisation();
-    assert!(utilisation >= 0.97, "{utilisation:.3} while the instance is paused");
+    assert!(
+        utilisation >= 0.97,
+        "{utilisation:.3} while the instance is paused"
+    );
     simulation.set_paused(4, false);
     simulation.advance(5_000);
     let gap_s = measure_gap_s(&mut simulation, 10_000);
--- a/crates/reedsail_scheduling/tests/fleet_simulation/mod.rs
+++ b/crates/reedsail_scheduling/tests/fleet_simulation/mod.rs
@@ -352,8 +352,9 @@
 
     /// Records the cost served so far.
     pub(crate) fn record(&mut self, simulation: &FleetSimulation) {
-        let served =
-            |workspace: usize| (simulation.served()[workspace] - self.baseline[workspace]) / self.weights[workspace];
+        let served = |workspace: usize| {
+            (simulation.served()[workspace] - self.baseline[workspace]) / self.weights[workspace]
+        };
         for (row, first) in self.workspaces.iter().enumerate() {
             for (column, second) in self.workspaces.iter().enumerate() {
                 let index = row * self.workspaces.len() + column;
--- a/crates/reedsail_scheduling/tests/folds_exhaustive.rs
+++ b/crates/reedsail_scheduling/tests/folds_exhaustive.rs
@@ -135,7 +135,8 @@
             BundleStep::Read => self.read(),
             BundleStep::AskPeer => match self.current_reader.in_force() {
                 Some(known) => {
-                    self.second_reader.adopt_version(known, self.current_reader.next_offset());
+                    self.second_reader
+                        .adopt_version(known, self.current_reader.next_offset());
                 }
                 None => return false,
             },
--- a/crates/reedsail_scheduling/tests/scheduler.rs
+++ b/crates/reedsail_scheduling/tests/scheduler.rs
@@ -198,7 +198,11 @@
     let mut first = scheduler.dispatch(after_rest);
     assert_eq!(first.len(), 1, "one request at first");
     scheduler.finish(first.remove(0).running, 1.0, true);
-    assert_eq!(scheduler.dispatch(after_rest).len(), 2, "two after the first answer");
+    assert_eq!(
+        scheduler.dispatch(after_rest).len(),
+        2,
+        "two after the first answer"
+    );
 }
 
 #[test]
@@ -352,7 +356,11 @@
     }
     assert_eq!(scheduler.preempt_excess(later), 4);
     assert_eq!(preempted_count(&running), 4);
-    assert_eq!(scheduler.preempt_excess(later), 0, "no more preemptions than needed");
+    assert_eq!(
+        scheduler.preempt_excess(later),
+        0,
+        "no more preemptions than needed"
+    );
     running.sort_by_key(|running| running.preempt.is_raised());
     for ended in running.drain(4..) {
         scheduler.finish(ended, 10.0, false);
