--- a/crates/reedsail_scheduling/tests/lease_handover.rs
+++ b/crates/reedsail_scheduling/tests/lease_handover.rs
@@ -2,15 +2,15 @@
 //! one failure domain are simulated without sockets, and the valid leases of all instances are compared with
 //! the slots at each step. The failure can come about in three ways:
 //!
-//! - A new allocator leases slots that members of its unresponsive predecessor still hold, because it waits
-//! only for reports from the instances that answer.
-//! - A paused allocator resumes, finds its members' leases expired and leases their slots to itself, while
-//! the members hold leases from its successor. On seed 1, 16 of 8 slots were leased at 18,700 ms. On seed 27,
-//! 9 of 8 slots were leased after a pause of 860 ms: one member's lease had expired at the paused allocator
-//! while another allocator had renewed it.
-//! - Two instances that suspect each other both remain allocators for as long as the suspicion lasts, 3 to 48
-//! s, although they can reach each other again. On seed 1, 32 of 8 slots were leased at 16,030 ms, more than
-//! a lease after a partition ended.
+//! - A new allocator leases slots that members of its unresponsive predecessor still hold, because it
+//!   waits only for reports from the instances that answer.
+//! - A paused allocator resumes, finds its members' leases expired and leases their slots to itself,
+//!   while the members hold leases from its successor. On seed 1, 16 of 8 slots were leased at 18,700 ms.
+//!   On seed 27, 9 of 8 slots were leased after a pause of 860 ms: one member's lease had expired at the
+//!   paused allocator while another allocator had renewed it.
+//! - Two instances that suspect each other both remain allocators for as long as the suspicion lasts, 3
+//!   to 48 s, although they can reach each other again. On seed 1, 32 of 8 slots were leased at 16,030
+//!   ms, more than a lease after a partition ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
