--- a/crates/reedsail_scheduling/src/allocator/targets.rs
+++ b/crates/reedsail_scheduling/src/allocator/targets.rs
@@ -155,13 +155,13 @@
     }
 
     fn fleet_slots(&self) -> u32 {
-        let other_domains: u32 = self
+        let other_slots: u32 = self
             .members
             .values()
             .filter(|member| !member.is_instance())
             .map(|member| member.own_slots)
             .sum();
-        self.own_slots() + other_domains
+        self.own_slots() + other_slots
     }
 
     /// Returns how many slots the domain's instances need beyond its own and borrowed ones.
