--- a/crates/reedsail_daemon/src/admin.rs
+++ b/crates/reedsail_daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health, metrics, status and the time line, on a port of their own.
+//! The admin port: health, readiness, status, bundle, metrics and the event timeline.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -100,7 +100,7 @@
     lines
 }
 
-/// Brings the gauges up to date and writes every metric.
+/// Updates the gauges and returns all metrics in the text format.
 fn render_metrics<P: SharePolicy>(shared: &Shared<P>) -> String {
     let metrics = &shared.metrics;
     let view = shared.view.load();
@@ -143,7 +143,7 @@
     metrics.render()
 }
 
-/// Returns the resident memory of the process, from the second field of `/proc/self/statm`.
+/// Returns the resident memory of the process from the second field of `/proc/self/statm`.
 fn resident_bytes() -> Option<i64> {
     const PAGE_BYTES: i64 = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
--- a/crates/reedsail_daemon/src/claims/dispatcher.rs
+++ b/crates/reedsail_daemon/src/claims/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Gathers this daemon's claims and takes them to the writer of their shard.
+//! Batches this daemon's claims and sends them to the writer of their shard.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -25,26 +25,26 @@
 use crate::control::Links;
 use crate::control::PeerAddress;
 
-/// How long jobs are gathered before they leave for the writer.
+/// How long jobs are gathered before they are sent to the writers.
 const GATHER_MS: u64 = 5;
-/// The most jobs of one round.
+/// The maximum number of jobs received at once.
 const JOBS_MAX: usize = 4_096;
-/// How many other daemons are tried before this one writes itself.
+/// How many other daemons are tried before this daemon writes the claims itself.
 const WRITERS_TRIED_MAX: usize = 1;
-/// The length of a writer's queue, in batches.
+/// The maximum length of a writer's queue, in jobs.
 const WRITER_QUEUE_MAX: usize = 4_096;
 
-/// What of a round belongs to one shard.
+/// The claims and ends of one round that belong to one shard.
 #[derive(Debug, Default)]
 struct ShardPart {
-    /// The claims' places in the round.
+    /// The index of each claim in the list of the call.
     indices: Vec<usize>,
     claims: Vec<ClaimRequest>,
     replies: Vec<oneshot::Sender<ClaimVerdict>>,
     ends: Vec<ClaimEnd>,
 }
 
-/// The writers on this daemon and the way to those on others.
+/// Routes claims to this daemon's writers or to those of other daemons.
 #[derive(Clone)]
 pub(crate) struct ClaimRouter<P: SharePolicy> {
     links: Links<P>,
@@ -54,7 +54,7 @@
 }
 
 impl<P: SharePolicy> ClaimRouter<P> {
-    /// Starts this daemon's writers, one for each shard; an idle one costs nothing.
+    /// Starts this daemon's writers, one for each shard. An idle writer costs nothing.
     pub(crate) fn start(
         links: Links<P>,
         domain_daemons: watch::Receiver<Vec<PeerAddress>>,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Writes claims and ends on this daemon, for itself or a peer.
+    /// Writes claims and ends with the writers of this daemon, for itself or for a peer.
     pub(crate) async fn write_here(
         &self,
         claims: Vec<ClaimRequest>,
@@ -116,8 +116,8 @@
         (hash % self.writers.len() as u64) as usize
     }
 
-    /// Takes one shard's claims to its writer, and to the next in rank if that one fails. The same
-    /// nonces go along, so that it does not matter whether the first one's append took effect.
+    /// Sends one shard's claims to its writer, and to the next writer in rank if that one fails. Both get the
+    /// same nonces, so an append by the first writer that took effect does no harm.
     async fn write_shard(
         &self,
         shard: usize,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Serves the traffic threads' claims until they are gone.
+/// Serves the claims of the traffic threads until all senders are dropped.
 pub(crate) async fn run_dispatcher<P: SharePolicy>(
     router: ClaimRouter<P>,
     mut jobs: mpsc::Receiver<ClaimJob>,
--- a/crates/reedsail_daemon/src/claims/mod.rs
+++ b/crates/reedsail_daemon/src/claims/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: their keys are claimed in the platform's log before they run.
+//! Claims: the key of a call that must not be repeated is claimed in the platform's log before the call runs.
 
 mod dispatcher;
 mod writer;
@@ -14,11 +14,11 @@
 pub(crate) use writer::WriterJob;
 pub(crate) use writer::run_writer;
 
-/// What a traffic thread asks of the control thread.
+/// A job that a traffic thread sends to the control thread.
 #[derive(Debug)]
 pub(crate) enum ClaimJob {
-    /// Claim a key, and tell what became of it.
+    /// Claims a key and replies with the verdict.
     Claim(ClaimRequest, oneshot::Sender<ClaimVerdict>),
-    /// Record the end of a call that held its key.
+    /// Records the end of a call that held its key.
     End(ClaimEnd),
 }
--- a/crates/reedsail_daemon/src/claims/writer.rs
+++ b/crates/reedsail_daemon/src/claims/writer.rs
@@ -1,10 +1,10 @@
-//! Writes claims to the log in batches and reads back who holds each key.
+//! Appends claims to the log in batches and reads back which nonce holds each key.
 //!
-//! Any daemon can write; one of each failure domain does, only so that claims share appends. Two
-//! writers of one shard cost appends and no more, since the log's order alone decides.
+//! Any daemon can write claims. One daemon of each failure domain writes, so that claims share appends. Two
+//! writers of one shard only cost extra appends, since the order of the log alone decides which claim holds.
 //!
-//! A key's own time picks its stream, so that all claims of a key stand in one short stream, and a
-//! writer that starts with nothing reads only the minutes that it is asked about.
+//! The timestamp in a key selects its stream, so all claims of a key are in one short stream, and a writer
+//! that starts without state reads only the minutes of the keys that it is asked about.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -26,15 +26,15 @@
 
 use crate::settings::ClaimSettings;
 
-/// The span of keys' times that share a stream.
+/// The length of the time range whose keys share a stream.
 const BUCKET_MS: u64 = 60_000;
-/// How long a batch may try to reach the log and to be read back.
+/// The time limit for appending a batch to the log and reading it back.
 const SETTLE_LIMIT_MS: u64 = 1_500;
-/// The pause between two tries.
+/// The pause between two attempts.
 const RETRY_PAUSE_MS: u64 = 50;
-/// Folds of streams that were not used for so many batches are dropped; they can be read again.
+/// The number of batches after which the state of an unused stream is dropped. It can be read again.
 const IDLE_BATCHES_MAX: u64 = 10_000;
-/// The most ends that wait for the log to come back.
+/// The maximum number of ends kept while the log is unreachable.
 const ENDS_KEPT_MAX: usize = 100_000;
 
 /// Claims and ends for one shard, from one daemon.
@@ -62,7 +62,7 @@
     batches: u64,
 }
 
-/// Serves one shard's claims until nobody can ask any more.
+/// Serves one shard's claims until all senders are dropped.
 pub(crate) async fn run_writer(mut writer: ClaimWriter, mut jobs: mpsc::Receiver<WriterJob>) {
     while let Some(first) = jobs.recv().await {
         sleep(Duration::from_millis(writer.settings.batch_window_ms)).await;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Writes the jobs' claims and ends, and answers each job.
+    /// Writes the claims and ends of the jobs and replies to each job.
     async fn settle(&mut self, jobs: Vec<WriterJob>) {
         self.batches += 1;
         let mut by_bucket: HashMap<u64, (Vec<ClaimRequest>, Vec<ClaimEnd>)> = HashMap::new();
@@ -118,7 +118,7 @@
                 .iter()
                 .map(|claim| verdicts.get(claim).copied().unwrap_or(ClaimVerdict::Unsettled))
                 .collect();
-            // A daemon that went away asks again elsewhere, with the same nonce.
+            // A daemon that has given up on the reply asks another writer, with the same nonce.
             let _ = job.reply.send(answer);
         }
         let batches = self.batches;
@@ -126,8 +126,8 @@
             .retain(|_, bucket| batches - bucket.used_at_batch < IDLE_BATCHES_MAX);
     }
 
-    /// Appends one record and reads until it is seen. An append whose answer was lost is looked for
-    /// before it is tried again; a second copy folds to nothing.
+    /// Appends one record and reads the stream until the record is found. An append whose answer was lost is
+    /// looked for in the stream before it is retried. A second copy of a record has no effect.
     async fn settle_bucket(&mut self, bucket: u64, claims: &[ClaimRequest], ends: &[ClaimEnd]) -> Settled {
         let stream = format!("claims-{}-{bucket}", self.shard);
         let batch = ClaimBatch {
@@ -164,7 +164,7 @@
     }
 }
 
-/// What became of a batch.
+/// The outcome of a batch.
 #[derive(Debug)]
 enum Settled {
     Known(Vec<ClaimVerdict>),
@@ -182,9 +182,10 @@
     }
 }
 
-/// Reads a stream on until the batch's record is folded, and tells how its claims stand there.
+/// Reads a stream until the batch's record is folded, and returns the verdicts of its claims.
 ///
-/// With the record's offset not known, reads to the end once; `None` if it was not found.
+/// If the record's offset is unknown, reads to the end of the stream once. Returns `None` if the record is
+/// not found.
 async fn read_back(
     platform: &PlatformClient,
     stream: &str,
@@ -217,7 +218,7 @@
 ) {
     fold.note_truncation(page.first_offset);
     for record in &page.records {
-        // A record that nobody can read says nothing to anybody.
+        // An invalid record has no effect on any reader.
         let read = ClaimBatch::parse(&record.data).ok();
         let records = read.as_ref().map(ClaimBatch::records).unwrap_or_default();
         fold.fold(record.offset, &records);
--- a/crates/reedsail_daemon/src/control/actor.rs
+++ b/crates/reedsail_daemon/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The actor: its state, its messages, and what each does.
+//! The control actor: its state and its message handlers.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -43,7 +43,7 @@
 /// The control state of one daemon.
 #[allow(
     clippy::struct_excessive_bools,
-    reason = "each is a fact of its own, not a state of one machine"
+    reason = "the flags are independent of each other, not the states of one state machine"
 )]
 pub(crate) struct Control<P: SharePolicy> {
     pub(super) shared: Arc<Shared<P>>,
@@ -52,15 +52,15 @@
     pub(super) actions: mpsc::UnboundedSender<LinkAction>,
     pub(super) domain_daemons: watch::Sender<Vec<PeerAddress>>,
     pub(super) follower: BundleFollower,
-    /// When the first bundle was in force here.
+    /// When the first bundle was put in force on this daemon.
     pub(super) applied_at: Option<TimeMs>,
     pub(super) log_caught_up: bool,
     pub(super) log_reachable: bool,
     pub(super) log_lost_at: Option<TimeMs>,
-    /// When the log last showed the version in force, by its own clock.
+    /// When the log last confirmed the version in force, by the log's clock.
     pub(super) in_force_seen_unix_ms: u64,
     pub(super) checkpoint_under_way: bool,
-    /// Since when records are missing that this daemon had not read.
+    /// When this daemon noticed that the log dropped records before it read them.
     pub(super) unsure_since: Option<TimeMs>,
     pub(super) behind_since: Option<(TimeMs, NameHash)>,
     pub(super) membership: Membership,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Returns the peers that the settings name, until the platform's list is known.
+/// Returns the peers that the settings name, which are used until the platform's list is known.
 fn known_peers(settings: &Settings) -> Membership {
     let mut membership = Membership::default();
     let others = settings
@@ -171,7 +171,7 @@
 impl<P: SharePolicy> Handler<LogRead> for Control<P> {
     type Return = u64;
 
-    /// Returns the offset from which to read on.
+    /// Returns the offset of the next read.
     async fn handle(&mut self, read: LogRead, _context: &mut Context<Self>) -> u64 {
         self.follow_log(&read.0)
     }
@@ -213,7 +213,7 @@
     type Return = Option<(u32, Vec<u8>)>;
 
     async fn handle(&mut self, _read: ReadBundle, _context: &mut Context<Self>) -> Self::Return {
-        // Who has a gap in what it read must not pass for one that knows.
+        // A daemon that missed records of the log must not vouch for its version.
         if !self.follower.is_sure() {
             return None;
         }
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -1,4 +1,4 @@
-//! The tick, the allocators of this daemon, and who is leaving.
+//! The tick of the control actor, the allocators of this daemon, and departures of instances and servers.
 
 use std::sync::Arc;
 
@@ -16,13 +16,13 @@
 
 use super::Control;
 
-/// How often allocators take over the domain's servers and daemons, in ticks.
+/// The interval at which allocators get the current servers and daemons of the domain, in ticks.
 const REFRESH_EVERY_TICKS: u64 = 5;
-/// How often idle state is dropped, in ticks.
+/// The interval at which idle state is dropped, in ticks.
 const COMPACT_EVERY_TICKS: u64 = 300;
-/// How often a frozen thread looks whether it may go on.
+/// The interval at which a frozen thread checks whether it may continue.
 const FROZEN_LOOK_MS: u64 = 10;
-/// How long a departure that a peer advertised counts, in milliseconds.
+/// How long a departure that a peer advertised stays valid, in milliseconds.
 const HEARSAY_LEAVING_MS: u64 = 30_000;
 
 impl<P: SharePolicy> Control<P> {
@@ -50,21 +50,21 @@
         self.keep_bundle(now);
     }
 
-    /// Lets the allocators notice that this thread stood still, before anything is leased.
+    /// Lets the allocators detect that this thread was paused, before they lease any slots.
     pub(super) fn note_pause(&mut self, now: TimeMs) {
         for allocator in self.allocators.values_mut() {
             allocator.detect_pause(now);
         }
     }
 
-    /// Blocks the thread for as long as a fault script wants, as a paused instance would.
+    /// Blocks the thread while a fault script freezes this instance, to simulate a paused process.
     fn stand_still_if_frozen(&self) {
         while self.shared.gate.is_frozen(&self.shared.settings.instance) {
             std::thread::sleep(std::time::Duration::from_millis(FROZEN_LOOK_MS));
         }
     }
 
-    /// Returns the allocator of a service on this daemon, begun now if need be.
+    /// Returns the allocator of a service on this daemon, and creates it if there is none.
     pub(super) fn allocator_mut(&mut self, service: ServiceKey, now: TimeMs) -> &mut Allocator {
         if !self.allocators.contains_key(&service) {
             let control = self.shared.settings.control;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Gives an allocator its servers, daemons and weights as they are now.
+    /// Updates the servers, the number of daemons and the weights of an allocator.
     fn refresh_allocator(&mut self, service: ServiceKey, now: TimeMs) {
         let others = self.membership.lease_holders(self.own_domain, now).len();
         let daemons = others + usize::from(!self.stopping);
@@ -146,7 +146,7 @@
         self.servers_leaving.contains(&server) || advertised.is_some_and(|until| now < *until)
     }
 
-    /// Takes a peer's word on leaving servers.
+    /// Records the leaving servers that a peer advertises.
     pub(super) fn receive_departures(&mut self, servers: &[NameHash], now: TimeMs) {
         if servers.is_empty() {
             return;
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes in what changed in the platform's list.
+    /// Applies changes of the platform's instance list.
     pub(super) fn take_in_instances(&mut self, list: &InstanceList) {
         self.replan();
         let now = self.shared.clock.now();
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Tells the claim dispatcher which daemons of the domain are alive.
+    /// Publishes the alive daemons of the domain to the claim dispatcher.
     pub(super) fn publish_domain_daemons(&mut self, now: TimeMs) {
         let alive = self.membership.alive(Some(self.own_domain), now);
         let addresses = alive
@@ -229,7 +229,7 @@
         self.shared.metrics.members.set(members as i64);
     }
 
-    /// Begins a planned stop: duties pass on with the next reports, which say so.
+    /// Begins a graceful stop. The next reports announce it, so that other daemons take over the duties.
     pub(super) fn begin_stop(&mut self) {
         self.stopping = true;
         self.replan();
--- a/crates/reedsail_daemon/src/control/grant.rs
+++ b/crates/reedsail_daemon/src/control/grant.rs
@@ -1,4 +1,4 @@
-//! Grants: answers to peers' reports, and what a peer's answer to a report changes here.
+//! Grants: answers peers' reports, and applies the grants that peers answer to this daemon's reports.
 
 use reedsail_core::NameHash;
 use reedsail_core::ServiceKey;
@@ -14,11 +14,11 @@
 use super::Control;
 use super::messages::ExchangeDone;
 
-/// Interval between reports while much less is granted than is due, in milliseconds.
+/// The interval between reports while far fewer slots are granted than are due, in milliseconds.
 const SHORT_INTERVAL_MS: u64 = 250;
-/// Fraction of the due slots below which a grant counts as much less.
+/// The fraction of the due slots below which a grant counts as short.
 const SHORT_FRACTION: f64 = 0.85;
-/// A lease lasts for this many report intervals, so that one lost report does no harm.
+/// The duration of a lease in report intervals. A lease outlives one lost report.
 const LEASE_INTERVALS: u64 = 3;
 
 impl<P: SharePolicy> Control<P> {
@@ -34,7 +34,7 @@
         for (service, row) in &report.services {
             let allocator = self.allocator_mut(*service, now);
             allocator.set_lease_ms(lease_ms);
-            // A leaving daemon is served until its last request is finished.
+            // A leaving daemon keeps its leases until its last request has finished.
             if report.leaving && row.demands.is_empty() {
                 allocator.remove_member(report.sender);
                 continue;
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Returns how long leases last, in milliseconds: longer than the settings say where reports are spaced further
-    /// apart. A new allocator settles for as long, since its predecessor's leases lasted as long.
+    /// Returns the duration of leases in milliseconds, which exceeds the setting when reports are spaced
+    /// further apart. A new allocator settles for the same time, since the leases of its predecessor lasted
+    /// as long.
     pub(super) fn lease_ms(&self, now: TimeMs) -> u64 {
         self.lease_ms_at(self.pacer.interval_ms(self.exchange_pairs(now)))
     }
@@ -124,18 +125,19 @@
             row.virtual_times.is_empty() && self.allocators.get(service).is_none_or(Allocator::is_idle)
         };
         if grant.services.iter().all(is_idle) {
-            // Nothing waits, runs or was charged: it is enough that leases do not lapse.
+            // Nothing is queued, runs or was charged, so reports only need to keep the leases from expiring.
             interval_ms = interval_ms.max(u64::from(grant.lease_ms) * 2 / 5);
         } else if self.is_short_of_slots(&grant) {
             interval_ms = interval_ms.min(SHORT_INTERVAL_MS);
         }
-        // Whatever the budget says, a lease is renewed before it lapses.
+        // Leases are renewed before they expire, even if that exceeds the byte budget.
         interval_ms = interval_ms.min(u64::from(grant.lease_ms) / 2);
         let schedule = self.peers.entry(done.peer).or_default();
         schedule.in_flight = false;
         schedule.next_report_at = done.sent_at.plus_ms(interval_ms);
         if was_suspect {
-            // It may be the allocator again, and must learn what is held before it leases anything.
+            // The peer may become the allocator again. It must know which slots are held before it leases
+            // any.
             schedule.make_due();
         }
     }
--- a/crates/reedsail_daemon/src/control/links.rs
+++ b/crates/reedsail_daemon/src/control/links.rs
@@ -1,4 +1,4 @@
-//! Calls to peers, made by tasks of the control thread over connections that are kept.
+//! Calls to peers, made by tasks of the control thread over persistent connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
 use super::platform_tasks::BUNDLE_STREAM;
 use crate::shared::Shared;
 
-/// How long a call that settles claims may take: the writer's own limit and some way.
+/// The time limit of a call that settles claims: the writer's own limit plus time for the network.
 const CLAIM_LIMIT_MS: u64 = 2_500;
 
 /// The connections by peer and time limit.
@@ -64,7 +64,7 @@
         &self.shared
     }
 
-    /// Claims keys through a peer.
+    /// Claims keys through the writer of a peer.
     pub(crate) async fn claim(
         &self,
         peer: &PeerAddress,
@@ -130,7 +130,7 @@
             .is_cut(&self.shared.settings.instance, &peer.instance)
         {
             self.open.borrow_mut().remove(&(peer.name, limit_ms));
-            return Err(LinkError::NoAnswer("the link was cut".to_owned()));
+            return Err(LinkError::NoAnswer("the link is cut by fault injection".to_owned()));
         }
         if outcome.is_err() {
             self.open.borrow_mut().remove(&(peer.name, limit_ms));
@@ -139,7 +139,7 @@
     }
 }
 
-/// Does what the actor asks for, each action in a task of its own.
+/// Runs the actions that the actor requests, each in a separate task.
 pub(super) async fn run_links<P: SharePolicy>(
     links: Links<P>,
     platform: Rc<PlatformClient>,
@@ -150,7 +150,7 @@
         let links = links.clone();
         let control = control.clone();
         let platform = Rc::clone(&platform);
-        // The actor outlives these tasks but for the daemon's very end.
+        // The actor outlives these tasks, except while the daemon ends.
         spawn_local(async move {
             match action {
                 LinkAction::Exchange {
@@ -164,19 +164,19 @@
                         sent_at,
                         outcome,
                     };
-                    // The actor ends only with the daemon.
+                    // The send fails only while the daemon ends.
                     let _ = control.send(done).await;
                 }
                 LinkAction::FetchBundle { peer, known_version } => {
                     if let Ok(Some(record)) = links.fetch_bundle(&peer, known_version).await {
-                        // The actor ends only with the daemon.
+                        // The send fails only while the daemon ends.
                         let _ = control.send(BundleFetched(record)).await;
                     }
                 }
                 LinkAction::AppendCheckpoint(record) => {
-                    // A lost answer does no harm: a second copy folds to nothing.
+                    // A lost answer does no harm, since a second copy of a checkpoint has no effect.
                     let appended = platform.append(BUNDLE_STREAM, record).await.is_ok();
-                    // The actor ends only with the daemon.
+                    // The send fails only while the daemon ends.
                     let _ = control.send(CheckpointDone(appended)).await;
                 }
             }
--- a/crates/reedsail_daemon/src/control/messages.rs
+++ b/crates/reedsail_daemon/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that the control actor takes, and what it asks the tasks around it to do.
+//! The messages that the control actor handles, and the actions that it requests from other tasks.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use reedsail_wire::LinkError;
 use reedsail_wire::Report;
 
-/// Where a peer takes calls.
+/// The address where a peer accepts calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PeerAddress {
     pub(crate) name: NameHash,
@@ -18,57 +18,57 @@
     pub(crate) address: SocketAddr,
 }
 
-/// What the actor asks the link tasks to do.
+/// An action that the actor requests from the link tasks.
 #[derive(Debug)]
 pub(crate) enum LinkAction {
-    /// Report to a peer.
+    /// Sends a report to a peer.
     Exchange {
         peer: PeerAddress,
         report: Box<Report>,
         sent_at: TimeMs,
     },
-    /// Fetch a peer's bundle.
+    /// Fetches a peer's bundle.
     FetchBundle { peer: PeerAddress, known_version: u32 },
-    /// Repeat the version in force in the log.
+    /// Appends a checkpoint of the bundle in force to the log.
     AppendCheckpoint(Vec<u8>),
 }
 
-/// Time has passed.
+/// The periodic tick.
 pub(super) struct Tick;
 
-/// A peer reports.
+/// A report from a peer.
 pub(super) struct PeerReport(pub(super) Report);
 
-/// A call to a peer has ended.
+/// The outcome of a report to a peer.
 pub(super) struct ExchangeDone {
     pub(super) peer: NameHash,
     pub(super) sent_at: TimeMs,
     pub(super) outcome: Result<Grant, LinkError>,
 }
 
-/// The log was read.
+/// A page read from the bundle stream.
 pub(super) struct LogRead(pub(super) LogPage);
 
-/// The log can, or cannot, be reached.
+/// Whether the log is reachable.
 pub(super) struct LogReachable(pub(super) bool);
 
-/// The append of a checkpoint has ended.
+/// Whether appending a checkpoint succeeded.
 pub(super) struct CheckpointDone(pub(super) bool);
 
-/// The instance list changed.
+/// A change of the instance list.
 pub(super) struct InstancesChanged(pub(super) InstanceList);
 
-/// A peer sent its bundle.
+/// A checkpoint record fetched from a peer.
 pub(super) struct BundleFetched(pub(super) Vec<u8>);
 
-/// A peer asks for the bundle in force.
+/// A peer's request for the bundle in force.
 pub(super) struct ReadBundle;
 
-/// An operator's tool asks for the content of the bundle in force.
+/// A request of the admin port for the content of the bundle in force.
 pub(crate) struct ReadContent;
 
-/// Somebody wants to know how the daemon stands.
+/// A request for the status of the daemon.
 pub(crate) struct ReadStatus;
 
-/// A planned stop begins.
+/// The start of a graceful stop.
 pub(crate) struct BeginStop;
--- a/crates/reedsail_daemon/src/control/mod.rs
+++ b/crates/reedsail_daemon/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control thread: one actor that owns all control state, and the tasks around it.
 //!
-//! The actor never waits: whatever takes time (calls to peers, the platform) is done by tasks of
-//! the same thread, which send it what came of it.
+//! The actor never waits for I/O. Calls to peers and to the platform run in other tasks of the same thread,
+//! which send their results to the actor.
 
 mod actor;
 mod allocation;
--- a/crates/reedsail_daemon/src/control/pacing.rs
+++ b/crates/reedsail_daemon/src/control/pacing.rs
@@ -1,4 +1,4 @@
-//! Paces reports by the byte budget: measures what an exchange costs on the wire.
+//! Paces reports to the byte budget by measuring the bytes of an exchange.
 
 use reedsail_core::TimeMs;
 use reedsail_scheduling::SharePolicy;
@@ -6,7 +6,7 @@
 use super::Control;
 use super::thread_time::thread_cpu_s;
 
-/// Interval at which the bytes of an exchange are measured, in milliseconds.
+/// The interval at which the bytes of an exchange are measured, in milliseconds.
 const PACE_EVERY_MS: u64 = 1_000;
 
 impl<P: SharePolicy> Control<P> {
--- a/crates/reedsail_daemon/src/control/peer_service.rs
+++ b/crates/reedsail_daemon/src/control/peer_service.rs
@@ -1,4 +1,4 @@
-//! What peers' calls meet: reports go to the actor, claims to the writers.
+//! Serves peers' calls: passes reports to the actor and claims to the writers.
 
 use std::sync::Arc;
 
--- a/crates/reedsail_daemon/src/control/platform_tasks.rs
+++ b/crates/reedsail_daemon/src/control/platform_tasks.rs
@@ -15,12 +15,12 @@
 
 /// The stream of bundle records.
 pub(super) const BUNDLE_STREAM: &str = "bundles";
-/// How long a read waits at the platform for news.
+/// How long the platform holds a read open until there are new records.
 const READ_WAIT_MS: u64 = 10_000;
-/// The pause after a read that failed.
+/// The pause after a failed read.
 const RETRY_PAUSE_MS: u64 = 200;
 
-/// Reads the bundle stream for as long as the actor lives.
+/// Reads the bundle stream while the actor lives.
 pub(super) async fn follow_bundles<P: SharePolicy>(
     platform: Rc<PlatformClient>,
     control: Address<Control<P>>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads the instance list for as long as the actor lives.
+/// Reads the instance list while the actor lives.
 pub(super) async fn follow_instances<P: SharePolicy>(
     platform: Rc<PlatformClient>,
     control: Address<Control<P>>,
--- a/crates/reedsail_daemon/src/control/report.rs
+++ b/crates/reedsail_daemon/src/control/report.rs
@@ -1,4 +1,4 @@
-//! Reports to allocators: who is the allocator of what, and what is sent when.
+//! Reports to allocators: determines the allocator of each service and when it gets which report.
 
 use std::collections::HashMap;
 
@@ -17,16 +17,16 @@
 use super::report_plan::Assignment;
 use super::report_plan::ReportPlan;
 
-/// Interval at which this daemon reports to itself where it is allocator, in milliseconds; that costs no
-/// message.
+/// The interval at which this daemon reports to itself where it is the allocator, in milliseconds. These
+/// reports need no messages.
 const OWN_REPORT_EVERY_MS: u64 = 200;
-/// Least time between two reports to one peer, even urgent ones, in milliseconds.
+/// The minimum time between two reports to one peer, even urgent ones, in milliseconds.
 const URGENT_SPACING_MS: u64 = 100;
-/// Interval at which a suspected daemon of the own failure domain is asked again, in milliseconds: less than half of
-/// the shortest lease, 1,000 ms in tests and 3,000 ms by default, so that two allocators that suspect each other agree
-/// within one.
+/// The interval at which a suspected daemon of the own failure domain is probed, in milliseconds. It is less
+/// than half of the shortest lease (1,000 ms in tests, 3,000 ms by default), so that two allocators that
+/// suspect each other agree within one lease.
 const PROBE_EVERY_MS: u64 = 400;
-/// Age from which the plan of reports is made anew, in milliseconds.
+/// The age from which the report plans are computed again, in milliseconds.
 const PLAN_AGE_MAX_MS: u64 = 1_000;
 
 impl<P: SharePolicy> Control<P> {
@@ -37,7 +37,7 @@
         now: TimeMs,
     ) -> Option<NameHash> {
         let mut candidates = self.membership.alive(Some(domain), now);
-        // A stopping daemon hands its duties over, unless there is nobody to take them.
+        // A stopping daemon hands over its duties unless no other daemon of the domain is alive.
         if domain == self.own_domain && (!self.stopping || candidates.is_empty()) {
             candidates.push(self.own_name);
         }
@@ -71,8 +71,9 @@
         self.probe_suspects(now);
     }
 
-    /// Asks suspected daemons of the own failure domain with an empty report. Suspicion alone ends after 3 to 48 s, and
-    /// until then two daemons may lease the same slots side by side with nothing wrong between them any more.
+    /// Probes suspected daemons of the own failure domain with an empty report. Without a probe, a suspicion
+    /// expires after 3 to 48 s, and until then two daemons may both lease the same slots although the fault
+    /// between them has ended.
     fn probe_suspects(&mut self, now: TimeMs) {
         for suspect in self.membership.suspects_to_probe(self.own_domain, now) {
             let schedule = self.peers.entry(suspect).or_default();
@@ -155,7 +156,7 @@
             report: Box::new(report),
             sent_at: now,
         };
-        // The task that takes actions lives as long as the actor.
+        // The task that receives actions lives as long as the actor.
         let _ = self.actions.send(action);
     }
 
--- a/crates/reedsail_daemon/src/control/report_plan.rs
+++ b/crates/reedsail_daemon/src/control/report_plan.rs
@@ -1,17 +1,17 @@
-//! Which reports are due: the allocator of each service, the schedule of each peer.
+//! The state of reports: the allocator of each service and the schedule of each peer.
 
 use reedsail_core::NameHash;
 use reedsail_core::ServiceKey;
 use reedsail_core::TimeMs;
 
-/// The allocator that a service is reported to, and which start of it knows the counters.
+/// The allocator that a service is reported to, and the incarnation of it that knows the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Assignment {
     pub(super) peer: NameHash,
     pub(super) incarnation: Option<u32>,
 }
 
-/// When a peer is to be reported to.
+/// When a report is sent to a peer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeerSchedule {
     pub(super) next_report_at: TimeMs,
@@ -22,13 +22,13 @@
 }
 
 impl PeerSchedule {
-    /// Has the next report sent at once.
+    /// Makes the next report due immediately.
     pub(super) fn make_due(&mut self) {
         self.next_report_at = TimeMs(0);
     }
 }
 
-/// The services that one peer is to be sent reports on.
+/// The services that are reported to one peer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportPlan {
     pub(super) services: Vec<ServiceKey>,
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -1,4 +1,4 @@
-//! Which bundle is in force here, and how this daemon comes to know.
+//! Rolls out bundles: determines which bundle is in force on this daemon, from the log or from peers.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -22,17 +22,18 @@
 use crate::stage::Stage;
 use crate::view::View;
 
-/// A daemon whose peer knows a newer version waits so long for the log before it asks the peer.
+/// How long a daemon waits for the log to deliver a newer version that a peer has, before it fetches it from
+/// the peer.
 const PEER_FETCH_AFTER_MS: u64 = 1_000;
-/// With the log out of reach for so long, a version learned from a peer will do.
+/// How long the log must be unreachable before a version from a peer is enough to become ready.
 const LOG_GIVEN_UP_AFTER_MS: u64 = 1_000;
-/// How often a daemon that does not know the bundle in force asks the next peer, in ticks.
+/// The interval at which a daemon that does not know the bundle in force asks the next peer, in ticks.
 const FETCH_EVERY_TICKS: u64 = 10;
-/// The role of repeating the version in force in the log.
+/// The role of appending checkpoints of the bundle in force to the log.
 const CHECKPOINT_ROLE: u64 = 0x6368_6563_6b70_6f69;
 
 impl<P: SharePolicy> Control<P> {
-    /// Folds a part of the bundle stream; returns the offset from which to read on.
+    /// Folds a page of the bundle stream. Returns the offset of the next read.
     pub(super) fn follow_log(&mut self, page: &LogPage) -> u64 {
         self.note_log_reachable(true);
         if page.first_offset > self.follower.next_offset() {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Puts the accepted content in force here, whole or not at all.
+    /// Puts the accepted content in force on this daemon, completely or not at all.
     fn apply_in_force(&mut self) {
         let (Some(accepted), Some(content)) = (self.follower.in_force(), self.follower.content()) else {
             return;
@@ -88,7 +89,7 @@
         let bundle = match read_bundle(content) {
             Ok(bundle) if bundle.version == accepted.version => bundle,
             Ok(bundle) => {
-                let error = format!("it calls itself version {}", bundle.version);
+                let error = format!("its content states version {}", bundle.version);
                 let fields = [("version", version.as_str()), ("error", &error)];
                 self.shared.events.emit(EventKind::BundleNotApplied, &fields);
                 return;
@@ -106,7 +107,7 @@
         let view = View::build(&bundle, &mut directory, &before, |_| {
             ServiceCell::new(policy.clone(), clock)
         });
-        // Names come first: a view's keys must be known to whoever sees it.
+        // The names are stored first, because a reader of the view must be able to look up its keys.
         self.shared.directory.store(Arc::new(directory));
         self.shared.view.store(Arc::new(view));
         let digest = hex::encode(accepted.digest);
@@ -131,7 +132,7 @@
         self.refresh_allocators(now);
     }
 
-    /// Takes requests once a bundle is in force that no reachable source knows to be old.
+    /// Becomes ready once a bundle is in force that no reachable source supersedes.
     fn check_ready(&mut self) {
         let now = self.shared.clock.now();
         let log_given_up = self
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Tells whether every service has slots here, so that the first request need not wait.
+    /// Returns whether this daemon has slots of every service, so that its first requests need not wait.
     fn has_slots_everywhere(&self) -> bool {
         let view = self.shared.view.load();
         let mut services = view.services();
@@ -172,7 +173,7 @@
         self.shared.events.emit(kind, &[]);
     }
 
-    /// Takes in a peer's copy of the version in force.
+    /// Applies a peer's copy of the bundle in force.
     pub(super) fn learn_bundle(&mut self, record: &[u8]) {
         match self.follower.learn(record) {
             Ok(true) => {
@@ -203,8 +204,8 @@
         }
     }
 
-    /// Fetches the bundle from a peer if the log does not bring it, and repeats it in the log
-    /// before it ages out.
+    /// Fetches the bundle from a peer if the log does not deliver it, and appends checkpoints to the log
+    /// before the record of the bundle ages out.
     pub(super) fn keep_bundle(&mut self, now: TimeMs) {
         self.check_ready();
         let nothing_known = self.follower.in_force().is_none();
@@ -228,14 +229,15 @@
 
     fn fetch_bundle_from(&mut self, peer: NameHash) {
         let known = self.follower.in_force().map_or(0, |accepted| accepted.version);
-        // Who missed records wants a peer's word even on the version that it has.
+        // A daemon that missed records must confirm with a peer even the version that it has.
         let known_version = if self.follower.is_sure() { known } else { 0 };
         if let Some(peer) = self.peer_address(peer) {
             let _ = self.actions.send(LinkAction::FetchBundle { peer, known_version });
         }
     }
 
-    /// The first daemon in rank repeats the version; each further one waits a quarter longer.
+    /// Appends a checkpoint if one is due. The first daemon in rank appends it, and each further daemon waits
+    /// a quarter of the interval longer.
     fn checkpoint_if_due(&mut self, now: TimeMs) {
         if !self.log_reachable || !self.log_caught_up || self.checkpoint_under_way || self.stopping {
             return;
@@ -244,7 +246,8 @@
         if self.follower.is_sure() {
             self.unsure_since = None;
         } else if now.since_ms(*self.unsure_since.get_or_insert(now)) < every_ms {
-            // Somebody who missed nothing will speak. If nobody does, what is known here must do.
+            // A daemon that missed no records should append the checkpoint. If none does within the interval,
+            // this daemon appends the version that it knows.
             return;
         }
         let mut daemons = self.membership.alive(None, now);
@@ -255,7 +258,7 @@
         if age_ms < every_ms + every_ms / 4 * place {
             return;
         }
-        // Packing a large bundle takes milliseconds, so it comes last.
+        // Packing a large bundle takes milliseconds, so it is done last.
         if let Some(record) = self.follower.checkpoint() {
             self.checkpoint_under_way = true;
             let _ = self.actions.send(LinkAction::AppendCheckpoint(record.to_bytes()));
--- a/crates/reedsail_daemon/src/control/thread.rs
+++ b/crates/reedsail_daemon/src/control/thread.rs
@@ -1,4 +1,4 @@
-//! Starts everything that lives on the control thread.
+//! Starts the tasks of the control thread.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -32,25 +32,25 @@
 use crate::claims::run_dispatcher;
 use crate::shared::Shared;
 
-/// The time between two ticks of the control state.
+/// The interval between two ticks of the control actor.
 const TICK_MS: u64 = 50;
-/// How many messages may wait for the actor.
+/// The maximum number of messages queued for the actor.
 const MAILBOX_MAX: usize = 1_024;
 
-/// What the control thread is given.
+/// The inputs of the control thread.
 pub(crate) struct ControlThread<P: SharePolicy> {
     pub(crate) shared: Arc<Shared<P>>,
     pub(crate) peer_listener: std::net::TcpListener,
     pub(crate) admin_listener: std::net::TcpListener,
     pub(crate) claim_jobs: mpsc::Receiver<ClaimJob>,
-    /// Gets the actor's address once it runs.
+    /// Receives the actor's address once the tasks are started.
     pub(crate) started: oneshot::Sender<Address<Control<P>>>,
 }
 
-/// Runs the control thread's tasks until the actor ends; needs a `LocalSet`.
+/// Runs the control thread's tasks until the actor ends. Must be called in a `LocalSet`.
 ///
 /// # Errors
-/// The system's, when a listener cannot be used.
+/// Returns the I/O error if a listener cannot be used.
 pub(crate) async fn run_control<P: SharePolicy>(thread: ControlThread<P>) -> std::io::Result<()> {
     let shared = thread.shared;
     let (actions, action_queue) = mpsc::unbounded_channel();
@@ -94,7 +94,7 @@
     spawn_local(follow_bundles(Rc::clone(&platform), control.clone()));
     spawn_local(follow_instances(platform, control.clone()));
     spawn_local(tick_forever(control.clone()));
-    // Whoever started the daemon may be gone already.
+    // The send fails if the start of the daemon was cancelled.
     let _ = thread.started.send(control);
     xtra::run(mailbox, actor).await;
     Ok(())
--- a/crates/reedsail_daemon/src/lib.rs
+++ b/crates/reedsail_daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: one thread for control state, others for traffic.
+//! The daemon: one thread owns the control state, the other threads serve requests.
 
 mod admin;
 mod claims;
--- a/crates/reedsail_daemon/src/main.rs
+++ b/crates/reedsail_daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `reedsaild`: reads its settings, runs the daemon, stops as planned on SIGTERM or SIGINT.
+//! `reedsaild`: reads its settings, runs the daemon, and stops gracefully on SIGTERM or SIGINT.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,9 +10,9 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Exit code of a stop that cut requests off.
+/// Exit code after a stop that aborted open requests.
 const EXIT_CUT: u8 = 3;
-/// Exit code of a program that could not start.
+/// Exit code if the daemon cannot start.
 const EXIT_UNUSABLE: u8 = 2;
 
 mod flags {
@@ -26,11 +26,11 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Routes requests to backend servers, each workspace getting its fair part.
+        /// Routes requests to backend servers, each workspace getting its fair share.
         cmd reedsaild {
-            /// The file with the settings, in YAML.
+            /// The settings file, in YAML.
             required --config file: PathBuf
-            /// Checks the settings and ends.
+            /// Checks the settings and exits.
             optional --check
         }
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs the daemon; `false` if its stop cut requests off.
+/// Runs the daemon until a signal arrives. Returns `false` if the stop aborted open requests.
 fn run(config: &Path, check_only: bool) -> anyhow::Result<bool> {
     let settings = read_file(config, Settings::read)?;
     if check_only {
@@ -64,7 +64,7 @@
         let mut interrupt = signal(SignalKind::interrupt())?;
         let daemon = RunningDaemon::start(settings, DaemonOptions::default()).await?;
         let addresses = daemon.addresses();
-        // Whoever started the daemon with port 0 learns the ports here.
+        // If the settings give port 0, this line is how the parent process learns the actual ports.
         println!(
             "listening callers={} peers={} admin={}",
             addresses.callers, addresses.peers, addresses.admin
--- a/crates/reedsail_daemon/src/metrics.rs
+++ b/crates/reedsail_daemon/src/metrics.rs
@@ -1,7 +1,7 @@
-//! The daemon's metrics; docs/reedsaild/METRICS.md describes each.
+//! The daemon's metrics. docs/reedsaild/METRICS.md describes each of them.
 //!
-//! Labels are bounded: error kinds, classes and kinds of traffic are closed lists, and of the
-//! workspaces only those with work or cost since the last scrape are shown, the largest first.
+//! The number of label values is bounded: error kinds, classes and kinds of traffic are closed lists, and a
+//! scrape shows only workspaces that have received cost since the start, the largest first.
 
 use prometheus::Encoder;
 use prometheus::Gauge;
@@ -15,10 +15,10 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// The most workspaces that one scrape shows.
+/// The maximum number of workspaces in one scrape.
 pub(crate) const WORKSPACES_SHOWN_MAX: usize = 64;
 
-/// Name, help and labels of every metric, in the order of the documentation.
+/// The name, help text and labels of every metric, in the order of the documentation.
 pub(crate) const CATALOGUE: &[(&str, &str, &[&str])] = &[
     (
         "reedsail_requests_total",
@@ -116,7 +116,7 @@
     pub(crate) platform_reachable: IntGauge,
 }
 
-/// Bounds of the histograms, in seconds.
+/// The bucket bounds of the histograms, in seconds.
 const SECONDS_BUCKETS: &[f64] = &[
     0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 0.69, 1.0, 3.0, 10.0, 30.0, 100.0,
 ];
@@ -125,7 +125,7 @@
     let (name, help, labels) = CATALOGUE
         .iter()
         .find(|(known, _, _)| *known == name)
-        .expect("every metric stands in the catalogue");
+        .expect("every metric is in the catalogue");
     (Opts::new(*name, *help), labels)
 }
 
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Writes every metric in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn render(&self) -> String {
         let mut bytes = Vec::new();
         let families = self.registry.gather();
--- a/crates/reedsail_daemon/src/running.rs
+++ b/crates/reedsail_daemon/src/running.rs
@@ -1,4 +1,4 @@
-//! A daemon that runs inside the calling process: the binary's, a test's or the bench's.
+//! A daemon that runs inside the calling process, which is `reedsaild`, a test or the benchmark.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,30 +32,30 @@
 use crate::traffic::TrafficThread;
 use crate::traffic::run_traffic;
 
-/// How many claims may wait for the control thread.
+/// The maximum number of claims queued for the control thread.
 const CLAIM_JOBS_MAX: usize = 8_192;
-/// How often a stopping daemon looks whether requests are open.
+/// The interval at which a stopping daemon checks for open requests.
 const STOP_POLL_MS: u64 = 20;
 
-/// What a test or the bench adds to the settings.
+/// Options that tests and the benchmark set besides the settings.
 #[derive(Clone, Debug, Default)]
 pub struct DaemonOptions {
-    /// Cuts between the daemon and others.
+    /// Simulates network partitions between the daemon and other processes.
     pub gate: NetGate,
 }
 
-/// Where a daemon listens, with free ports filled in.
+/// The addresses that a daemon listens on, with the actual ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DaemonAddresses {
     /// For callers.
     pub callers: SocketAddr,
     /// For other daemons.
     pub peers: SocketAddr,
-    /// For health, metrics and the time line.
+    /// For health, metrics and the event timeline.
     pub admin: SocketAddr,
 }
 
-/// A handle on a daemon, whatever its policy.
+/// A handle to a daemon with any policy.
 #[derive(Debug)]
 pub struct RunningDaemon {
     instance: String,
@@ -64,7 +64,7 @@
     workers: Workers,
 }
 
-/// What can be asked of a daemon in the same process, by policy.
+/// The handle of each policy.
 #[derive(Debug)]
 enum Probe {
     Fifo(Handle<FifoPolicy>),
@@ -101,7 +101,7 @@
     /// Starts a daemon.
     ///
     /// # Errors
-    /// Names the address that cannot be listened on, or the thread that cannot be started.
+    /// Returns an error if an address cannot be listened on or a thread cannot be started, and names it.
     pub async fn start(settings: Settings, options: DaemonOptions) -> anyhow::Result<Self> {
         let instance = settings.instance.clone();
         let (probe, addresses, workers) = match settings.policy {
@@ -132,7 +132,7 @@
         &self.instance
     }
 
-    /// Returns where the daemon listens.
+    /// Returns the addresses that the daemon listens on.
     pub fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
@@ -142,23 +142,23 @@
         with_handle!(&self.probe, handle => handle.shared.stage.get())
     }
 
-    /// Returns the version in force; zero for none.
+    /// Returns the version of the bundle in force, or zero if there is none.
     pub fn bundle_version(&self) -> u32 {
         with_handle!(&self.probe, handle => handle.shared.view.load().version)
     }
 
-    /// Returns how many requests of a workspace wait for a service.
+    /// Returns the number of requests of a workspace that are queued for a service.
     pub fn queued(&self, service: &str, workspace: &str) -> u32 {
         with_handle!(&self.probe, handle => handle.shared.queued(service, workspace))
     }
 
-    /// Returns slots leased and in use for a service.
+    /// Returns the numbers of slots leased and in use for a service.
     pub fn slot_counts(&self, service: &str) -> (u32, u32) {
         with_handle!(&self.probe, handle => handle.shared.slot_counts(service))
     }
 
-    /// Returns the bytes sent and received so far that serve no caller: those between daemons, and
-    /// all.
+    /// Returns the control bytes sent and received so far: those between daemons, and the total.
+    /// Bytes of requests and answers are not counted.
     pub fn control_bytes(&self) -> (u64, u64) {
         with_handle!(&self.probe, handle => {
             let bytes = &handle.shared.bytes;
@@ -167,26 +167,26 @@
         })
     }
 
-    /// Returns the events kept so far.
+    /// Returns the events in the timeline.
     pub fn events(&self) -> Vec<Event> {
         with_handle!(&self.probe, handle => handle.shared.events.kept())
     }
 
-    /// Returns how many requests are open.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         with_handle!(&self.probe, handle => {
             handle.shared.open_requests.load(std::sync::atomic::Ordering::Acquire)
         })
     }
 
-    /// Stops as planned: every open request is finished first. Returns whether all were.
+    /// Stops gracefully after open requests have finished. Returns whether all of them finished in time.
     pub async fn close(self) -> bool {
         let finished = with_handle!(&self.probe, handle => stop_as_planned(handle).await);
         self.workers.close();
         finished
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops immediately, to simulate a crash.
     pub fn kill(self) {
         self.workers.close();
     }
@@ -219,7 +219,7 @@
             shared: Arc::clone(&shared),
             listener: callers
                 .try_clone()
-                .context("cannot share the callers' listener")?,
+                .context("cannot share the listener for callers with a traffic thread")?,
             stage_changed: stage_watch.clone(),
         };
         workers.start(&format!("traffic-{index}"), || run_traffic(thread))?;
@@ -233,7 +233,7 @@
         started,
     };
     workers.start("control", || run_control(thread))?;
-    let control = control.await.context("the control thread ended at its start")?;
+    let control = control.await.context("the control thread ended during startup")?;
     let handle = Handle {
         shared,
         control,
@@ -242,13 +242,13 @@
     Ok((handle, addresses, workers))
 }
 
-/// Passes duties on, waits for the balancer to notice, then for every open request.
+/// Hands over allocator duties, waits until the load balancer has noticed, then waits for open requests.
 async fn stop_as_planned<P: SharePolicy>(handle: &Handle<P>) -> bool {
     let shared = &handle.shared;
     let limits = &shared.settings.limits;
     shared.stage.advance(Stage::Draining);
     shared.events.emit(EventKind::StopBegun, &[]);
-    // The actor ends only with the daemon.
+    // The actor runs until the daemon stops, so the send succeeds.
     let _ = handle.control.send(BeginStop).await;
     let deadline = Instant::now() + Duration::from_millis(limits.stop_max_ms);
     sleep(Duration::from_millis(limits.stop_notice_ms)).await;
--- a/crates/reedsail_daemon/src/service_cell.rs
+++ b/crates/reedsail_daemon/src/service_cell.rs
@@ -1,4 +1,4 @@
-//! One service's scheduler behind a lock, and the slots that it hands to requests.
+//! A service's scheduler behind a lock, and the slots that it grants to requests.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,10 +19,10 @@
 use reedsail_scheduling::WorkspaceTable;
 use tokio::sync::oneshot;
 
-/// Wakes a queued request with its slot, or with the kind of its refusal.
+/// Resumes a queued request with its slot, or with the kind of error that refuses it.
 pub(crate) type Waker<P> = oneshot::Sender<Result<Slot<P>, ErrorKind>>;
 
-/// One service's queues and slots on this daemon.
+/// The queues and slots of one service on this daemon.
 #[derive(Debug)]
 pub(crate) struct ServiceCell<P: SharePolicy> {
     scheduler: Mutex<Scheduler<P, Waker<P>>>,
@@ -47,7 +47,7 @@
         self.lock().configure(servers, workspaces);
     }
 
-    /// Queues a request; the receiver gets its slot.
+    /// Queues a request. The receiver of its waker gets the slot.
     pub(crate) fn submit(self: &Arc<Self>, waiting: Waiting<Waker<P>>) -> Result<QueuePlace<P>, ErrorKind> {
         let workspace = waiting.workspace;
         let ticket = {
@@ -64,10 +64,10 @@
         })
     }
 
-    /// Hands free slots to waiting requests.
+    /// Grants free slots to queued requests.
     ///
-    /// The wakers are called after the lock is let go, since a request that went away drops its
-    /// slot at once, and that takes the lock again.
+    /// The wakers are called after the lock is released: if the request was cancelled, its slot is dropped
+    /// immediately, which takes the lock again.
     pub(crate) fn dispatch(self: &Arc<Self>) {
         let dispatches = self.lock().dispatch(self.clock.now());
         for Dispatch { running, waker } in dispatches {
@@ -76,12 +76,12 @@
                 cell: Arc::clone(self),
                 cost: 0.0,
             };
-            // A request that went away hands its slot back as it drops it.
+            // If the request was cancelled, dropping the slot frees it.
             let _ = waker.send(Ok(slot));
         }
     }
 
-    /// Wakes requests whose deadline has passed, and lets lapsed leases go.
+    /// Fails queued requests whose deadline has passed and drops expired leases.
     pub(crate) fn tick(self: &Arc<Self>) {
         let expired = {
             let mut scheduler = self.lock();
@@ -110,7 +110,7 @@
     }
 }
 
-/// A request's place in the queue; dropping it withdraws the request.
+/// A request's entry in the queue. Dropping it withdraws the request.
 #[derive(Debug)]
 pub(crate) struct QueuePlace<P: SharePolicy> {
     cell: Arc<ServiceCell<P>>,
@@ -118,7 +118,7 @@
 }
 
 impl<P: SharePolicy> QueuePlace<P> {
-    /// Ends the place of a request that was dispatched or refused.
+    /// Releases the entry of a request that was dispatched or refused.
     pub(crate) fn close(mut self) {
         self.ticket = None;
     }
@@ -132,7 +132,7 @@
     }
 }
 
-/// A slot on a backend server; dropping it frees the slot, whatever became of the request.
+/// A slot on a backend server. Dropping it frees the slot, whether or not the request succeeded.
 #[derive(Debug)]
 pub(crate) struct Slot<P: SharePolicy> {
     running: Option<Running>,
@@ -145,14 +145,14 @@
         self.running.as_ref().map(|running| running.server)
     }
 
-    /// Tells whether the request is to give its slot up.
+    /// Returns whether the request must give up its slot.
     pub(crate) fn is_preempted(&self) -> bool {
         self.running
             .as_ref()
             .is_some_and(|running| running.preempt.is_raised())
     }
 
-    /// Charges the cost that has shown so far.
+    /// Charges the cost incurred so far.
     pub(crate) fn progress(&mut self, cost: f64) {
         self.cost = cost;
         if let Some(running) = &mut self.running {
@@ -160,12 +160,12 @@
         }
     }
 
-    /// Notes the cost without charging it yet.
+    /// Records the cost without charging it yet.
     pub(crate) fn note_cost(&mut self, cost: f64) {
         self.cost = cost;
     }
 
-    /// Moves to a server that was not tried yet; `false` if none has a free slot.
+    /// Moves to a slot on a server that has not been tried. Returns `false` if none has a free slot.
     pub(crate) fn restart(&mut self, tried: &[ServerKey]) -> bool {
         let Some(running) = self.running.take() else {
             return false;
@@ -182,7 +182,7 @@
         moved
     }
 
-    /// Frees the slot of a request that was answered whole.
+    /// Frees the slot of a request whose answer is complete.
     pub(crate) fn close(mut self, cost: f64) {
         self.release(cost, true);
     }
--- a/crates/reedsail_daemon/src/settings.rs
+++ b/crates/reedsail_daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings and their defaults; `settings_reader` reads them. Defaults:
+//! The daemon's settings and their defaults. `settings_reader` parses them.
 
 use std::net::SocketAddr;
 
@@ -9,84 +9,85 @@
 pub struct Settings {
     /// The instance's name.
     pub instance: String,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub failure_domain: String,
-    /// Where it listens.
+    /// The addresses to listen on.
     pub listen: ListenSettings,
-    /// Where the platform is.
+    /// The platform's address.
     pub platform: SocketAddr,
-    /// Whose signatures count.
+    /// The keys whose signatures on bundles are accepted.
     pub trusted_keys: TrustedKeys,
-    /// Daemons to ask before the platform's list is known.
+    /// Daemons to contact until the platform's instance list is known.
     pub peers: Vec<PeerSeed>,
-    /// How capacity is shared.
+    /// The policy by which workspaces share capacity.
     pub policy: PolicyChoice,
-    /// Threads for traffic.
+    /// The number of traffic threads.
     pub traffic_threads: usize,
-    /// Bounds on callers and on waiting.
+    /// Limits on message sizes and waiting times.
     pub limits: LimitSettings,
-    /// How daemons talk to each other.
+    /// Settings of the control traffic between daemons.
     pub control: ControlSettings,
-    /// How calls that may not be repeated are claimed.
+    /// Settings of the claims on calls that must not be repeated.
     pub claims: ClaimSettings,
-    /// What the time line keeps.
+    /// Settings of the event timeline.
     pub timeline: TimelineSettings,
 }
 
-/// Where the daemon listens; port 0 takes any free one.
+/// The addresses that the daemon listens on. Port 0 selects any free port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
     /// For callers.
     pub callers: SocketAddr,
     /// For other daemons.
     pub peers: SocketAddr,
-    /// For health, metrics and the time line.
+    /// For health, metrics and the event timeline.
     pub admin: SocketAddr,
 }
 
-/// A daemon known from the settings.
+/// A peer named in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSeed {
-    /// Its name.
+    /// The name of its instance.
     pub instance: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Where it listens for other daemons.
+    /// The address where it listens for other daemons.
     pub address: SocketAddr,
 }
 
-/// Which policy shares the capacity.
+/// The policy by which workspaces share capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyChoice {
-    /// Each daemon alone, first come first served: a baseline.
+    /// Each daemon schedules by itself, first come first served. A baseline for comparison.
     Fifo,
-    /// Each daemon alone, fair, with a fixed part of every backend server: a baseline.
+    /// Each daemon schedules fairly by itself, with a fixed fraction of the slots of every backend server.
+    /// A baseline for comparison.
     Split {
-        /// How many daemons there are.
+        /// The number of daemons.
         daemons: u32,
     },
-    /// Leased slots in the order of fleet-wide virtual time.
+    /// Daemons lease slots and serve workspaces in the order of fleet-wide virtual time.
     Fleet,
 }
 
-/// Bounds on callers and on waiting.
+/// Limits on message sizes and waiting times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// The largest header section.
+    /// The maximum size of a header section.
     pub header_bytes_max: usize,
-    /// The largest body of a request.
+    /// The maximum size of a request body.
     pub body_bytes_max: usize,
-    /// The largest answer that is not a stream.
+    /// The maximum size of an answer that is not a stream.
     pub answer_bytes_max: usize,
-    /// How long a request waits for its answer to begin if it does not say.
+    /// The deadline for the start of the answer if the request sets none.
     pub deadline_default_ms: u64,
-    /// The longest that a request may ask to wait.
+    /// The longest deadline that a request can set.
     pub deadline_max_ms: u64,
-    /// How long an answer may pause between two parts.
+    /// The longest pause between two frames of an answer.
     pub stall_max_ms: u64,
-    /// How long a stopping daemon goes on taking requests, until the balancer has noticed.
+    /// How long a stopping daemon keeps accepting requests, so that the load balancer notices the stop.
     pub stop_notice_ms: u64,
-    /// How long a stopping daemon waits for open requests.
+    /// How long a stopping daemon waits for open requests to finish.
     pub stop_max_ms: u64,
 }
 
@@ -105,20 +106,20 @@
     }
 }
 
-/// How daemons talk to each other.
+/// Settings of the control traffic between daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Bytes a second that control messages may take, both directions together.
+    /// The byte budget of control messages per second, both directions together.
     pub budget_bytes_per_s: u64,
-    /// How long a lease lasts at least; it is longer when reports are spaced further apart.
+    /// The minimum duration of a lease. Leases last longer when reports are spaced further apart.
     pub lease_ms: u64,
-    /// Over which time a workspace that is behind is brought level.
+    /// The time over which a workspace that is behind in virtual time catches up.
     pub horizon_ms: u64,
-    /// By how much of its fair part a workspace may lead after a cut is mended.
+    /// The maximum lead of a workspace after a network partition heals, as time at its fair share.
     pub rejoin_clamp_ms: u64,
-    /// How long a call to a peer or the platform may take.
+    /// The timeout of a call to a peer or the platform.
     pub call_limit_ms: u64,
-    /// How often the version in force is repeated in the log.
+    /// The interval at which the bundle in force is appended to the log again.
     pub checkpoint_every_ms: u64,
 }
 
@@ -135,14 +136,14 @@
     }
 }
 
-/// How calls that may not be repeated are claimed.
+/// Settings of the claims on calls that must not be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// In how many streams claims are kept; the same for the whole fleet.
+    /// The number of shards of the claim log. It must be the same on every daemon of the fleet.
     pub shards: u32,
-    /// How long a claim waits for others to share its append.
+    /// How long a claim waits for other claims, so that one append carries them all.
     pub batch_window_ms: u64,
-    /// For how long the log keeps a claim for sure; an older key is refused.
+    /// How long the log is guaranteed to keep a claim. Older keys are refused.
     pub retention_ms: u64,
 }
 
@@ -156,12 +157,12 @@
     }
 }
 
-/// What the time line keeps in memory.
+/// Settings of the event timeline, which is kept in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimelineSettings {
-    /// The most events.
+    /// The maximum number of events.
     pub kept_max: usize,
-    /// Whether each request's events are among them.
+    /// Whether the timeline includes the events of each request.
     pub requests: bool,
 }
 
--- a/crates/reedsail_daemon/src/settings_reader.rs
+++ b/crates/reedsail_daemon/src/settings_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the daemon's settings from YAML; every fault is reported at once.
+//! Reads the daemon's settings from YAML and reports all faults together.
 
 use reedsail_bundle::KeyRole;
 use reedsail_bundle::PublicKey;
@@ -18,16 +18,16 @@
 use crate::Settings;
 use crate::TimelineSettings;
 
-/// Traffic threads at most.
+/// The maximum number of traffic threads.
 const TRAFFIC_THREADS_MAX: usize = 256;
-/// Longest span that a setting may name, in milliseconds: a day.
+/// The longest duration that a setting accepts, in milliseconds: one day.
 const SPAN_MAX_MS: u64 = 86_400_000;
 
 impl Settings {
     /// Reads and checks settings.
     ///
     /// # Errors
-    /// Every fault, each with its line, key, value and what is allowed.
+    /// Returns every fault, each with its line, key, value and the allowed values.
     pub fn read(text: &str) -> Result<Self, Vec<Fault>> {
         read_document(text, |top| {
             let instance = top.required("instance").and_then(|value| value.name());
@@ -117,7 +117,7 @@
             continue;
         };
         if keys.iter().any(|known| known.name == name && known.role == role) {
-            value.fault(format!("`{name}` has a key in this role already; remove one"));
+            value.fault(format!("`{name}` already has a key with this role; remove one of them"));
         }
         keys.push(TrustedKey {
             name,
@@ -156,7 +156,7 @@
     peers
 }
 
-/// Reads an optional number over its default.
+/// Reads an optional number, or returns its default.
 fn number_or<N>(
     mapping: &mut Mapping<'_>,
     key: &'static str,
--- a/crates/reedsail_daemon/src/shared.rs
+++ b/crates/reedsail_daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all threads of a daemon share.
+//! The state that all threads of a daemon share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
 use crate::stage::StageCell;
 use crate::view::View;
 
-/// Bytes that serve no caller, by kind.
+/// Counters of control bytes by kind. Bytes of requests and answers are not counted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ControlBytes {
     /// Calls to other daemons.
     pub(crate) peer_calls: ByteCounter,
     /// Calls from other daemons.
     pub(crate) peer_served: ByteCounter,
-    /// The bundle stream and the instance list.
+    /// Reads of the bundle stream and the instance list, and appended checkpoints.
     pub(crate) platform: ByteCounter,
-    /// Claim streams.
+    /// Reads and appends of claim streams.
     pub(crate) claims: ByteCounter,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// What all threads share; each field has its own lock or none.
+/// The state that all threads share. Each field has its own lock or needs none.
 #[derive(Debug)]
 pub(crate) struct Shared<P: SharePolicy> {
     pub(crate) settings: Settings,
@@ -101,7 +101,8 @@
         use_it(&self.directory.load())
     }
 
-    /// Takes one request from a workspace's rate, or says when to come back.
+    /// Takes one request from a workspace's rate limit. If the limit is reached, returns the delay until the
+    /// next request in milliseconds as the error.
     pub(crate) fn take_rate(&self, workspace: WorkspaceKey, per_s: f64) -> Result<(), u64> {
         let now = self.clock.now();
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
@@ -128,7 +129,7 @@
         found.map_or((0, 0), |(_, found)| found.cell.lock().slot_counts())
     }
 
-    /// Opens a request; it counts until the guard is dropped.
+    /// Counts a request as open until the returned guard is dropped.
     pub(crate) fn open_request(self: &Arc<Self>) -> OpenRequest<P> {
         self.open_requests.fetch_add(1, Ordering::AcqRel);
         OpenRequest(Arc::clone(self))
@@ -167,7 +168,7 @@
     }
 }
 
-/// Counts an open request; a planned stop waits for all of them.
+/// Guard that counts an open request. A graceful stop waits until all guards are dropped.
 #[derive(Debug)]
 pub(crate) struct OpenRequest<P: SharePolicy>(Arc<Shared<P>>);
 
@@ -177,38 +178,38 @@
     }
 }
 
-/// What `reedsail fleet status` shows of one daemon.
+/// The status of one daemon, as `reedsail fleet status` shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance.
+    /// The name of the instance.
     pub instance: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Its stage.
+    /// The name of its stage.
     pub stage: String,
-    /// The version in force.
+    /// The version of the bundle in force.
     pub bundle_version: u32,
-    /// The digest of its content.
+    /// The digest of the bundle's content.
     pub bundle_digest: String,
-    /// Requests open.
+    /// The number of open requests.
     pub open_requests: usize,
-    /// Members that it leases slots to.
+    /// The number of members to which it leases slots.
     pub members: usize,
-    /// Daemons that it sees alive, itself included.
+    /// The number of daemons that it considers alive, including itself.
     pub alive_daemons: usize,
-    /// Its services.
+    /// The status of each service.
     pub services: Vec<ServiceStatus>,
 }
 
-/// One service on one daemon.
+/// The status of one service on one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// The service.
+    /// The name of the service.
     pub name: String,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Slots leased to the daemon.
+    /// The number of slots leased to the daemon.
     pub slots_leased: u32,
-    /// Slots in use.
+    /// The number of slots in use.
     pub slots_in_use: u32,
 }
--- a/crates/reedsail_daemon/src/stage.rs
+++ b/crates/reedsail_daemon/src/stage.rs
@@ -1,23 +1,23 @@
-//! Where the daemon stands between its start and its end.
+//! The stages of the daemon from start to shutdown.
 
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::Ordering;
 
-/// A stage of the daemon's life; it only moves forward.
+/// A stage of the daemon. Transitions only go forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// No bundle is in force yet.
     Starting,
-    /// Requests are taken.
+    /// Requests are accepted.
     Ready,
-    /// A planned stop has begun; requests are still taken until the balancer has noticed.
+    /// A graceful stop has begun. Requests are still accepted until the load balancer has noticed.
     Draining,
-    /// No request is taken any more; open ones are finished.
+    /// New requests are refused, and open requests are finished.
     Closing,
 }
 
 impl Stage {
-    /// Returns the name that the admin page shows.
+    /// Returns the name that the admin port shows.
     pub fn name(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -28,7 +28,7 @@
     }
 }
 
-/// The present stage, readable from every thread.
+/// The current stage, readable from every thread.
 #[derive(Debug)]
 pub(crate) struct StageCell(AtomicU8);
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Moves forward; returns `true` if the stage is new.
+    /// Advances to `stage`. Returns `false` if the daemon has already reached it.
     pub(crate) fn advance(&self, stage: Stage) -> bool {
         self.0.fetch_max(stage as u8, Ordering::AcqRel) < stage as u8
     }
--- a/crates/reedsail_daemon/src/traffic/answer.rs
+++ b/crates/reedsail_daemon/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the answers to callers.
 
 use std::fmt;
 
@@ -16,13 +16,13 @@
 
 use super::headers::REQUEST_ID_HEADER;
 
-/// The answer header that tells whether the request ran.
+/// The answer header that states whether the request ran.
 pub(crate) const RAN_HEADER: &str = "reedsail-ran";
 
-/// A body that is whole, or a stream that can break off.
+/// The body of an answer: complete, or a stream that can fail.
 pub(crate) type AnswerBody = Either<Full<Bytes>, Channel<Bytes, AnswerBroken>>;
 
-/// Breaks a stream off so that the caller sees that it is not whole.
+/// The error that aborts a stream, so that the caller detects that it is incomplete.
 #[derive(Debug)]
 pub(crate) struct AnswerBroken;
 
@@ -34,7 +34,7 @@
 
 impl std::error::Error for AnswerBroken {}
 
-/// Makes the answer to a request that failed, as the closed table says.
+/// Builds the answer to a failed request from the table of error kinds.
 pub(crate) fn failure_answer(failure: &Failure, id: &str) -> Response<AnswerBody> {
     let kind = failure.kind();
     let body = json!({
--- a/crates/reedsail_daemon/src/traffic/backend.rs
+++ b/crates/reedsail_daemon/src/traffic/backend.rs
@@ -1,4 +1,4 @@
-//! Sends a call to a backend server, and to another where that is allowed.
+//! Sends a call to a backend server, and retries on other servers where that is allowed.
 
 use std::net::SocketAddr;
 
@@ -30,14 +30,15 @@
 use crate::service_cell::Slot;
 use crate::shared::Shared;
 
-/// How long connecting to a server may take.
+/// The time limit for connecting to a server.
 const CONNECT_LIMIT_MS: u64 = 500;
-/// The most tries of one request that may have reached a server, the first included.
+/// The maximum number of attempts that may have reached a server, including the first.
 const SENT_ATTEMPTS_MAX: usize = 4;
-/// The most tries in all; one that reached nobody costs little, and a cut hides many servers.
+/// The maximum number of attempts in total. An attempt that reaches no server is cheap, and a network
+/// partition makes many servers unreachable.
 const ATTEMPTS_MAX: usize = 32;
 
-/// The head of an answer, with all that is needed to read on.
+/// The head of an answer, with what is needed to read its body.
 pub(crate) struct Answering {
     pub(crate) sent: Sent,
     pub(crate) response: Response<Incoming>,
@@ -46,20 +47,20 @@
     pub(crate) server: ServerKey,
 }
 
-/// Whether one try reached the server, and what came of it.
+/// The outcome of one attempt.
 enum AttemptResult {
     Answered(Box<Answering>),
-    /// Nothing was written: any call may go elsewhere.
+    /// No byte was written, so any call may be retried on another server.
     NotSent(Unsent),
-    /// Something may have been written: only a call that may be repeated goes elsewhere.
+    /// Bytes may have been written, so only a call that may be repeated is retried on another server.
     Failed(Sent, ErrorKind),
 }
 
-/// The proofs of a request that is tried more than once.
+/// Whether any attempt of a request may have reached a server, with the proof.
 pub(crate) enum AttemptsSoFar {
-    /// No try has written a byte.
+    /// No attempt has written a byte.
     Unsent(Unsent),
-    /// A try may have.
+    /// An attempt may have written bytes.
     Sent(Sent),
 }
 
@@ -72,9 +73,9 @@
     }
 }
 
-/// Sends the call from the slot it has, and from others as long as that is allowed.
+/// Sends the call in its slot, and retries in other slots while that is allowed.
 ///
-/// A stream that is resumed passes how many tokens were delivered.
+/// `resume_from` is the number of tokens already delivered of a stream that is resumed, or zero.
 pub(crate) async fn send_call<P: SharePolicy>(
     shared: &Shared<P>,
     pool: &Pool,
@@ -88,7 +89,7 @@
     let mut sent_attempts = 0;
     for _ in 0..ATTEMPTS_MAX {
         let Some(server) = slot.server() else { break };
-        // A later try of a call of which bytes were sent proves nothing about the earlier one.
+        // If bytes were sent in an earlier attempt, a later attempt that sent none does not change that.
         let was_sent = matches!(so_far, AttemptsSoFar::Sent(_));
         match attempt_once(shared, pool, call, server, resume_from).await {
             AttemptResult::Answered(answering) => return Ok(*answering),
@@ -121,8 +122,8 @@
     Err(so_far.fail(ErrorKind::NoBackend, last_kind))
 }
 
-/// Tells whether a call of which bytes were sent may be sent once more. A resumed stream is owed its end,
-/// so it costs nothing of the retry budget.
+/// Returns whether a call of which bytes were sent may be sent again. Resuming a stream does not use the
+/// retry budget, since the caller already has its first part and needs the rest.
 fn may_send_again<P: SharePolicy>(
     shared: &Shared<P>,
     call: &Call<P>,
@@ -159,7 +160,7 @@
     }
 }
 
-/// Moves to a server that was not tried; where none has a free slot, queues for one again.
+/// Moves to a server that has not been tried. If none has a free slot, queues for one again.
 async fn move_slot<P: SharePolicy>(
     shared: &Shared<P>,
     call: &Call<P>,
@@ -197,7 +198,7 @@
     let request = build_request(call, address, resume_from);
     let (request, unsent) = match pool.take(address, shared.clock.now()) {
         Some(connection) => match exchange(connection, request, unsent, deadline()).await {
-            // An idle connection that the server has closed says nothing about the server.
+            // The server has closed the idle connection, which does not mean that the server failed.
             Exchange::HandedBack(unsent, request) => (*request, unsent),
             Exchange::Head(sent, response, connection) => {
                 return check_head(call, sent, *response, connection, address, server);
@@ -218,7 +219,7 @@
     }
 }
 
-/// Matches the answer to the request by the id that went along.
+/// Checks that the answer belongs to the request: an echoed request id must be the one that was sent.
 fn check_head<P: SharePolicy>(
     call: &Call<P>,
     sent: Sent,
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! A request that was read and checked, ready to be queued.
+//! Reads and validates a request before it is queued.
 
 use std::sync::Arc;
 
@@ -30,13 +30,13 @@
 
 /// The path of model services.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// How far a key's time may lie ahead of this daemon's clock.
+/// How far the timestamp of a key may be ahead of this daemon's clock.
 const KEY_AHEAD_MAX_MS: u64 = 60_000;
 
-/// A refusal before anything was queued, with when to come back where that is known.
+/// The reason why a request is refused before it is queued, and the delay until a retry, if known.
 pub(crate) type Refusal = (ErrorKind, Option<u64>);
 
-/// A request ready to be queued.
+/// A validated request, ready to be queued.
 #[derive(Debug)]
 pub(crate) struct Call<P: SharePolicy> {
     pub(crate) id: String,
@@ -53,11 +53,11 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) prefix: Option<u64>,
-    /// A chat whose answer is wanted as a stream of events.
+    /// Whether the call is a chat whose caller requested the answer as a stream of events.
     pub(crate) wants_stream: bool,
 }
 
-/// Reads and checks a request.
+/// Reads and validates a request.
 pub(crate) async fn read_call<P: SharePolicy>(
     shared: &Shared<P>,
     request: Request<Incoming>,
@@ -111,7 +111,7 @@
     })
 }
 
-/// Reads the class and the deadline in milliseconds that the caller wants.
+/// Reads the requested class and the requested deadline in milliseconds.
 fn read_terms<P: SharePolicy>(
     shared: &Shared<P>,
     headers: &HeaderMap,
@@ -124,15 +124,15 @@
     Ok((class, deadline_ms))
 }
 
-/// What a path leads to.
+/// How the service of a request is determined.
 enum Target<P: SharePolicy> {
-    /// The service of the path.
+    /// By the path: this service.
     Plain(Arc<ServiceView<P>>),
-    /// The service of the model that the body names.
+    /// By the model that the body names.
     Chat,
 }
 
-/// The service of a call, with what its body says.
+/// The service of a call, with the properties read from its body.
 struct Chosen<P: SharePolicy> {
     service: Arc<ServiceView<P>>,
     prefix: Option<u64>,
@@ -191,8 +191,8 @@
     Ok(())
 }
 
-/// Reads the key of a call that may not be repeated; it carries its time (`UUIDv7`, RFC 9562), so
-/// that a key which the log may have forgotten can be told.
+/// Reads the key of a call that must not be repeated. The key is a `UUIDv7` (RFC 9562) and so includes its
+/// creation time, by which keys older than the retention of the log are detected.
 fn read_key(headers: &HeaderMap, rule: KeyRule, retention_ms: u64) -> Result<Option<ClaimKey>, Refusal> {
     let Some(value) = headers::idempotency_key(headers) else {
         return match rule {
--- a/crates/reedsail_daemon/src/traffic/chat.rs
+++ b/crates/reedsail_daemon/src/traffic/chat.rs
@@ -1,14 +1,14 @@
-//! What the daemon reads of a chat request and of its answers.
+//! The parts of chat requests and their answers that the daemon reads.
 
 use std::borrow::Cow;
 
 use serde::Deserialize;
 use twox_hash::XxHash64;
 
-/// How much of a prompt counts as its prefix, in bytes.
+/// The maximum length of the part of a prompt that counts as its prefix, in bytes.
 const PREFIX_BYTES_MAX: usize = 64;
 
-/// The parts of a chat request that decide where it goes.
+/// The parts of a chat request that determine its service and server.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ChatHead<'a> {
     #[serde(borrow)]
@@ -26,7 +26,7 @@
 }
 
 impl ChatHead<'_> {
-    /// Returns the hash of the prompt's first bytes, by which caches are found.
+    /// Returns the hash of the prompt's first bytes, by which servers with a matching prefix cache are found.
     pub(crate) fn prefix(&self) -> Option<u64> {
         let first = self.messages.first()?.content.as_deref()?;
         let end = first.len().min(PREFIX_BYTES_MAX);
@@ -60,26 +60,26 @@
     usage: Option<ChatUsage>,
 }
 
-/// Returns the tokens that a whole answer says it took.
+/// Returns the number of tokens that a complete answer reports.
 pub(crate) fn whole_answer_tokens(body: &[u8]) -> Option<u64> {
     let chunk: ChatChunk<'_> = serde_json::from_slice(body).ok()?;
     chunk.usage.map(|usage| usage.completion_tokens)
 }
 
-/// What one event of a stream says.
+/// The meaning of one event of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StreamEvent {
     /// A token.
     Token,
-    /// The number of tokens in all.
+    /// The total number of tokens.
     Usage(u64),
-    /// The end of a whole stream.
+    /// The end of a complete stream.
     Done,
-    /// Something else.
+    /// Any other event.
     Other,
 }
 
-/// Reads one event of a stream, given without the empty line that ends it.
+/// Parses one event of a stream, without the empty line that ends it.
 pub(crate) fn read_event(event: &[u8]) -> StreamEvent {
     let Some(data) = event.strip_prefix(b"data:") else {
         return StreamEvent::Other;
--- a/crates/reedsail_daemon/src/traffic/claim.rs
+++ b/crates/reedsail_daemon/src/traffic/claim.rs
@@ -1,4 +1,4 @@
-//! Claims a call's key before it runs, and records its end.
+//! Claims the key of a call before the call runs, and records its end.
 
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
@@ -16,7 +16,7 @@
 use crate::claims::ClaimJob;
 use crate::shared::Shared;
 
-/// A key that this call holds. Its end must be recorded with [`HeldClaim::close`].
+/// A claim that a call holds on its key. The end of the call must be recorded with [`HeldClaim::close`].
 #[derive(Debug)]
 pub(crate) struct HeldClaim {
     key: ClaimKey,
@@ -24,7 +24,8 @@
 }
 
 impl HeldClaim {
-    /// Records how the call ended; `None` if it was never sent, so that it may be tried again.
+    /// Records the status with which the call ended. `None` means that the call was never sent and may be
+    /// retried.
     pub(crate) async fn close<P: SharePolicy>(self, shared: &Shared<P>, status: Option<u16>) {
         record_end(shared, self.key, self.nonce, status.unwrap_or(0)).await;
     }
@@ -53,7 +54,7 @@
         ClaimVerdict::Ended(status) => Err(unsent.refuse(ErrorKind::KeyAlreadyRan).with_first_status(status)),
         ClaimVerdict::Unavailable => Err(unsent.refuse(ErrorKind::ClaimUnavailable)),
         ClaimVerdict::Unsettled => {
-            // The claim may stand in the log although nothing was sent: give the key free again.
+            // The claim may be in the log although the call was not sent, so release the key.
             record_end(shared, key, nonce, 0).await;
             Err(unsent.refuse(ErrorKind::ClaimUnavailable))
         }
@@ -75,7 +76,8 @@
 
 async fn record_end<P: SharePolicy>(shared: &Shared<P>, key: ClaimKey, nonce: Nonce, status: u16) {
     let end = ClaimEnd { key, nonce, status };
-    // Without a control thread there is nobody left to tell; the key then stays in use, never free.
+    // The send fails only after the control thread has ended. The key then stays in use and is never
+    // released.
     let _ = shared.claim_jobs.send(ClaimJob::End(end)).await;
 }
 
--- a/crates/reedsail_daemon/src/traffic/headers.rs
+++ b/crates/reedsail_daemon/src/traffic/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that callers send to the daemon, and those that it passes on.
+//! Reads the headers that callers send, and selects those that are forwarded.
 
 use hyper::HeaderMap;
 use hyper::header::AUTHORIZATION;
@@ -13,16 +13,16 @@
 
 /// The class of a request: `interactive` or `batch`.
 const CLASS_HEADER: &str = "reedsail-class";
-/// How many milliseconds the answer may take to begin.
+/// The deadline for the start of the answer, in milliseconds.
 const DEADLINE_HEADER: &str = "reedsail-deadline-ms";
-/// The key under which a call runs at most once.
+/// The key of a call that runs at most once.
 const KEY_HEADER: &str = "idempotency-key";
 /// The id that backend servers echo.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Headers that are not passed on besides [`HOP_HEADERS`]: those between the caller and this daemon, and
-/// those that the daemon sets itself. The router passes `host` and the proxy's two on: its routes have
-/// backend servers that may look at them.
+/// Headers besides [`HOP_HEADERS`] that are not forwarded: those between the caller and this daemon, and
+/// those that the daemon sets itself. The router does forward `host` and the two proxy headers, since its
+/// backend servers may read them.
 const OWN_HEADERS: &[&str] = &[
     "proxy-authenticate",
     "proxy-authorization",
@@ -47,7 +47,7 @@
     Some(Sha256::digest(key.as_bytes()).into())
 }
 
-/// Reads the class that the caller wants.
+/// Reads the requested class.
 pub(crate) fn class(headers: &HeaderMap, default: Class) -> Result<Class, ErrorKind> {
     let Some(value) = headers.get(CLASS_HEADER) else {
         return Ok(default);
@@ -58,7 +58,7 @@
         .ok_or(ErrorKind::BadHeader)
 }
 
-/// Reads how long the answer may take to begin, in milliseconds.
+/// Reads the deadline for the start of the answer, in milliseconds.
 pub(crate) fn deadline_ms(headers: &HeaderMap, default_ms: u64, max_ms: u64) -> Result<u64, ErrorKind> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(default_ms);
@@ -68,12 +68,12 @@
     Ok(asked_ms.min(max_ms))
 }
 
-/// Returns the idempotency key as the caller wrote it.
+/// Returns the idempotency key as the caller sent it.
 pub(crate) fn idempotency_key(headers: &HeaderMap) -> Option<&HeaderValue> {
     headers.get(KEY_HEADER)
 }
 
-/// Copies the headers that pass from one side to the other.
+/// Copies the headers that are forwarded.
 pub(crate) fn pass_on(from: &HeaderMap, to: &mut HeaderMap) {
     for (name, value) in from {
         if is_passed_on(name) {
--- a/crates/reedsail_daemon/src/traffic/mod.rs
+++ b/crates/reedsail_daemon/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The traffic threads: callers' requests, from the first byte to the last.
+//! The traffic threads, which serve callers' requests from the first byte to the last.
 
 mod answer;
 mod backend;
@@ -19,5 +19,5 @@
 pub(crate) use thread::TrafficThread;
 pub(crate) use thread::run_traffic;
 
-/// Connections under the server's address, which the bundle fixes.
+/// A pool of connections by the address that the bundle gives a backend server.
 type Pool = ConnectionPool<SocketAddr>;
--- a/crates/reedsail_daemon/src/traffic/queueing.rs
+++ b/crates/reedsail_daemon/src/traffic/queueing.rs
@@ -1,4 +1,4 @@
-//! Waits for a slot.
+//! Queues calls for slots.
 
 use reedsail_core::ErrorKind;
 use reedsail_core::TimeMs;
--- a/crates/reedsail_daemon/src/traffic/relay.rs
+++ b/crates/reedsail_daemon/src/traffic/relay.rs
@@ -1,4 +1,4 @@
-//! Brings a backend server's answer to the caller.
+//! Relays a backend server's answer to the caller.
 
 use std::time::Duration;
 
@@ -29,27 +29,27 @@
 use super::headers;
 use crate::shared::Shared;
 
-/// Tells whether the answer is a stream of events that passes token by token.
+/// Returns whether the answer is a stream of events, which is relayed token by token.
 pub(crate) fn is_stream<P: SharePolicy>(call: &Call<P>, answering: &Answering) -> bool {
     let content_type = answering.response.headers().get(CONTENT_TYPE);
     let is_events = content_type.is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
     call.wants_stream && is_events && answering.response.status() == StatusCode::OK
 }
 
-/// A whole answer and what it cost.
+/// A complete answer and its cost.
 pub(crate) struct WholeAnswer {
     pub(crate) answer: Response<AnswerBody>,
     pub(crate) cost: f64,
 }
 
-/// An answer that did not come whole; nothing of it has reached the caller.
+/// An incomplete answer. No part of it has reached the caller.
 pub(crate) struct BrokenAnswer {
     pub(crate) sent: Sent,
     pub(crate) kind: ErrorKind,
     pub(crate) server: ServerKey,
 }
 
-/// Reads a whole answer, so that the caller gets all of it or an error.
+/// Reads the complete answer first, so that the caller gets either all of it or an error.
 pub(crate) async fn relay_whole<P: SharePolicy>(
     shared: &Shared<P>,
     pool: &Pool,
@@ -85,7 +85,7 @@
     Ok(WholeAnswer { answer, cost })
 }
 
-/// Reads a body to its end. A server may take its time, but not pause for longer than `stall_ms`.
+/// Reads a body to its end. The total time is not limited, but a pause longer than `stall_ms` is an error.
 async fn read_answer(mut body: Incoming, bytes_max: usize, stall_ms: u64) -> Result<Bytes, ErrorKind> {
     let stall = Duration::from_millis(stall_ms);
     let mut whole = BytesMut::new();
@@ -105,7 +105,7 @@
     }
 }
 
-/// Makes an answer with the backend server's status and headers.
+/// Builds an answer with the backend server's status and headers.
 pub(crate) fn answer_from(
     status: StatusCode,
     from: &HeaderMap,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Takes in what a server's answer says, late, of its load and its cache.
+/// Records the load and cache state that a server's answer reports. It describes a past state of the server.
 pub(crate) fn note_hints<P: SharePolicy>(
     shared: &Shared<P>,
     call: &Call<P>,
--- a/crates/reedsail_daemon/src/traffic/serve.rs
+++ b/crates/reedsail_daemon/src/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Serves one request from its head to its answer.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -31,13 +31,13 @@
 use crate::shared::OpenRequest;
 use crate::shared::Shared;
 
-/// How often an answer that broke off is asked for again.
+/// The maximum number of retries after an incomplete answer.
 const BROKEN_ANSWERS_MAX: usize = 2;
 
-/// Numbers the requests of a process.
+/// The number of the next request of the process.
 static REQUESTS: AtomicU64 = AtomicU64::new(1);
 
-/// Serves one request; every failure becomes an answer.
+/// Serves one request. Every failure becomes an answer.
 pub(crate) async fn serve_request<P: SharePolicy>(
     shared: Arc<Shared<P>>,
     pool: Arc<Pool>,
@@ -59,8 +59,8 @@
     }))
 }
 
-/// Runs a call that was read. One that may not be repeated runs in a task of its own, so that its
-/// end is recorded even if the caller goes away.
+/// Runs a validated call. A call that must not be repeated runs in a separate task, so that its end is
+/// recorded even if the caller disconnects.
 async fn run_call<P: SharePolicy>(
     shared: &Arc<Shared<P>>,
     pool: &Arc<Pool>,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Runs a call that may not be repeated, under its claim if it has a key.
+/// Runs a call that must not be repeated, under a claim if it has a key.
 async fn run_once<P: SharePolicy>(
     shared: Arc<Shared<P>>,
     pool: Arc<Pool>,
@@ -98,7 +98,7 @@
     let (unsent, claim) = claim_key(&shared, &call, Unsent::new()).await?;
     let outcome = forward(Arc::clone(&shared), pool, call, unsent, open).await;
     if let Some(claim) = claim {
-        // With no known end the key stays in use: a repeat is told so, and never run.
+        // If the end of the call is unknown, the key stays in use: a repeated call is refused and never runs.
         let status = match &outcome {
             Ok(answer) => Some(answer.status().as_u16()),
             Err(failure) if failure.ran() == RanState::NotRun => None,
@@ -109,7 +109,7 @@
     outcome
 }
 
-/// Queues a call, sends it and brings the answer back.
+/// Queues a call, sends it and returns the answer.
 async fn forward<P: SharePolicy>(
     shared: Arc<Shared<P>>,
     pool: Arc<Pool>,
@@ -138,8 +138,8 @@
             }
             Err(broken) => broken,
         };
-        // Nothing has reached the caller, so what may be repeated is asked again, elsewhere if
-        // there is a slot.
+        // Nothing has reached the caller, so a call that may be repeated is retried, on another server if
+        // one has a free slot.
         let in_time = call.repeat == Repeat::Allowed && shared.clock.now() < call.deadline;
         if !in_time || tried.len() >= BROKEN_ANSWERS_MAX || !call.service.cell.spend_retry() {
             return Err(broken.sent.fail(broken.kind));
--- a/crates/reedsail_daemon/src/traffic/stream.rs
+++ b/crates/reedsail_daemon/src/traffic/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, token by token, and resumes it elsewhere when it breaks.
+//! Relays a stream of events token by token, and resumes it on another server when it breaks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,43 +34,43 @@
 use crate::shared::OpenRequest;
 use crate::shared::Shared;
 
-/// The length of the queue between the two sides, in events.
+/// The maximum length of the queue between the backend server and the caller, in events.
 const EVENTS_QUEUED_MAX: usize = 32;
-/// How often tokens are charged while a stream runs.
+/// The number of tokens between two charges while a stream runs.
 const TOKENS_PER_CHARGE: u64 = 8;
-/// How often a stream may be resumed.
+/// The maximum number of times that a broken stream is resumed.
 const RESUMES_MAX: usize = 3;
-/// The largest event.
+/// The maximum size of an event.
 const EVENT_BYTES_MAX: usize = 1 << 20;
 
-/// How a part of a stream ended.
+/// How the answer of one server ended.
 enum StreamEnd {
-    /// The stream is whole.
+    /// The stream is complete.
     Whole,
-    /// It broke off; it may go on elsewhere.
+    /// The stream broke and may be resumed on another server.
     Broken,
-    /// Its slot is wanted by others; it goes on when its turn comes.
+    /// The scheduler preempted the stream. It is resumed once it gets a slot again.
     Preempted,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// A stream under way.
+/// A stream that is being relayed.
 struct StreamRelay<P: SharePolicy> {
     shared: Arc<Shared<P>>,
     pool: Arc<Pool>,
     call: Call<P>,
-    /// Absent while the stream waits for its turn again.
+    /// `None` while the stream is queued again.
     slot: Option<Slot<P>>,
     sender: Sender<Bytes, AnswerBroken>,
     splitter: EventSplitter,
     tokens: u64,
-    /// Tokens that were charged on slots given up before.
+    /// Tokens that were charged on earlier slots.
     tokens_before: u64,
     done: bool,
 }
 
-/// Starts to pass a stream on, and returns the answer whose body it feeds.
+/// Starts relaying a stream, and returns the answer with the relayed body.
 pub(crate) fn relay_stream<P: SharePolicy>(
     shared: Arc<Shared<P>>,
     pool: Arc<Pool>,
@@ -121,7 +121,7 @@
                 self.finish();
                 return;
             }
-            // Dropping body and connection cancels the stream on the engine.
+            // Dropping the body and the connection cancels the stream on the server.
             drop(body);
             drop(answering.connection);
             let resumed = match end {
@@ -144,7 +144,7 @@
         self.sender.abort(AnswerBroken);
     }
 
-    /// Passes events on until the stream ends, breaks or is no longer wanted.
+    /// Relays events until the stream ends, breaks, is preempted or the caller disconnects.
     async fn pass_on(&mut self, body: &mut Incoming) -> StreamEnd {
         let stall = Duration::from_millis(self.shared.settings.limits.stall_max_ms);
         loop {
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Gives the slot up, queues again, and goes on from the last token delivered.
+    /// Releases the slot of a preempted stream, queues it again, and resumes it after the last delivered
+    /// token.
     async fn wait_for_turn(&mut self) -> Option<Answering> {
         self.emit(EventKind::StreamPreempted);
         self.shared
@@ -200,7 +201,7 @@
         self.go_on(Vec::new()).await
     }
 
-    /// Gives the slot back and queues for another.
+    /// Releases the slot and queues for another.
     async fn take_another_slot(&mut self) -> Option<()> {
         self.slot = None;
         self.tokens_before = self.tokens;
@@ -210,20 +211,21 @@
         Some(())
     }
 
-    /// The caller's deadline was for the first token; a stream that has begun may wait its turn.
+    /// Extends the deadline. The caller's deadline was for the first token, and a stream that has begun may
+    /// be queued for longer.
     fn extend_deadline(&mut self) {
         let wait_max_ms = self.shared.settings.limits.deadline_max_ms;
         self.call.deadline = self.shared.clock.now().plus_ms(wait_max_ms);
     }
 
-    /// Asks another server to go on after the last token that was delivered.
+    /// Resumes the stream on another server after the last delivered token.
     async fn resume_elsewhere(&mut self, broken: ServerKey) -> Option<Answering> {
         let now = self.shared.clock.now();
         self.call.service.cell.lock().record_failure(broken, now);
         let tried = vec![broken];
         if !self.slot.as_mut()?.restart(&tried) {
-            // Every other slot is taken: queue for the next one. What was delivered is owed to its
-            // end, so no retry budget counts here.
+            // No other server has a free slot, so queue for one. The caller already has the first part of the
+            // stream and needs the rest, so resuming does not use the retry budget.
             self.take_another_slot().await?;
         }
         self.extend_deadline();
@@ -232,7 +234,7 @@
         Some(resumed)
     }
 
-    /// Sends the call again, to go on after the last token that was delivered.
+    /// Sends the call again, to resume after the last delivered token.
     async fn go_on(&mut self, tried: Vec<ServerKey>) -> Option<Answering> {
         self.splitter.clear();
         let slot = self.slot.as_mut()?;
--- a/crates/reedsail_daemon/src/traffic/thread.rs
+++ b/crates/reedsail_daemon/src/traffic/thread.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections on one thread.
+//! Accepts callers' connections on one thread.
 
 use std::sync::Arc;
 
@@ -16,21 +16,21 @@
 use crate::shared::Shared;
 use crate::stage::Stage;
 
-/// What a traffic thread is given.
+/// The inputs of a traffic thread.
 pub(crate) struct TrafficThread<P: SharePolicy> {
     pub(crate) shared: Arc<Shared<P>>,
     pub(crate) listener: std::net::TcpListener,
-    /// Changes when the daemon's stage does.
+    /// Notifies of changes of the daemon's stage.
     pub(crate) stage_changed: watch::Receiver<Stage>,
 }
 
-/// The most idle connections to one server.
+/// The maximum number of idle connections to one server.
 const IDLE_MAX: usize = 256;
 
-/// Serves callers until the daemon closes.
+/// Serves callers until the daemon is closing.
 ///
 /// # Errors
-/// The system's, when the listener cannot be used.
+/// Returns the I/O error if the listener cannot be used.
 pub(crate) async fn run_traffic<P: SharePolicy>(thread: TrafficThread<P>) -> std::io::Result<()> {
     let listener = TcpListener::from_std(thread.listener)?;
     let pool = Arc::new(Pool::new(IDLE_MAX));
@@ -51,11 +51,11 @@
         }
     }
     drop(listener);
-    // Open connections end by themselves; the daemon waits for their requests.
+    // The open connections have tasks of their own, and the daemon waits for their requests.
     std::future::pending().await
 }
 
-/// Serves one connection. Once the daemon closes, the request under way is the last.
+/// Serves one connection. When the daemon is closing, the current request is the last.
 async fn serve_connection<P: SharePolicy>(
     shared: Arc<Shared<P>>,
     pool: Arc<Pool>,
@@ -73,7 +73,7 @@
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // A connection that breaks shows at its requests.
+        // The requests of a failed connection report the failure.
         _ = connection.as_mut() => return,
         changed = stage_changed.wait_for(|stage| *stage == Stage::Closing) => {
             let _ = changed;
--- a/crates/reedsail_daemon/src/view.rs
+++ b/crates/reedsail_daemon/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic threads see of the bundle in force: made once for each version, never changed.
+//! The view of the bundle in force that traffic threads use. It is built once for each version and immutable.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,14 +22,14 @@
 
 use crate::service_cell::ServiceCell;
 
-/// A backend server as requests need it.
+/// The parts of a backend server that requests need.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerView {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
 }
 
-/// A service as requests need it.
+/// The parts of a service that requests need.
 #[derive(Debug)]
 pub(crate) struct ServiceView<P: SharePolicy> {
     pub(crate) name: String,
@@ -38,24 +38,24 @@
     pub(crate) cell: Arc<ServiceCell<P>>,
 }
 
-/// A workspace as requests need it.
+/// The parts of a workspace that requests need.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkspaceView {
     pub(crate) name: String,
     pub(crate) workspace: Workspace,
 }
 
-/// The bundle in force, ready for look-ups.
+/// The bundle in force, indexed for lookups.
 #[derive(Debug)]
 pub(crate) struct View<P: SharePolicy> {
     /// Zero while no bundle is in force.
     pub(crate) version: u32,
     by_digest: HashMap<Digest, WorkspaceKey>,
     workspaces: HashMap<WorkspaceKey, WorkspaceView>,
-    /// Weights and limits, for every scheduler and allocator.
+    /// The weights and limits that every scheduler and allocator uses.
     pub(crate) table: Arc<WorkspaceTable>,
     models: HashMap<String, ServiceKey>,
-    /// Path prefixes, the longest first.
+    /// Path prefixes, longest first.
     prefixes: Vec<(String, ServiceKey)>,
     services: Vec<Option<Arc<ServiceView<P>>>>,
 }
@@ -75,7 +75,7 @@
 }
 
 impl<P: SharePolicy> View<P> {
-    /// Makes the view of a bundle, keeping the queues and slots of services that go on.
+    /// Builds the view of a bundle. Services that are also in `before` keep their queues and slots.
     pub(crate) fn build(
         bundle: &Bundle,
         directory: &mut Directory,
--- a/crates/reedsail_daemon/tests/golden.rs
+++ b/crates/reedsail_daemon/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The command line of `reedsaild`, pinned.
+//! Compares the output and the exit codes of the `reedsaild` command line with snapshots.
 
 use std::process::Command;
 
--- a/crates/reedsail_daemon/tests/process.rs
+++ b/crates/reedsail_daemon/tests/process.rs
@@ -1,4 +1,4 @@
-//! The real `reedsaild` process: its settings, its signals, its exit codes.
+//! Runs `reedsaild` as a process and checks its settings, signal handling and exit codes.
 
 use std::fmt::Write;
 use std::io::BufRead;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Writes the settings with which a process of its own joins the fleet, on free ports.
+/// Returns the settings with which a separate process joins the fleet, on free ports.
 fn settings_yaml(fleet: &Fleet) -> String {
     let mut text = format!(
         "instance: hall-a-2\nfailure_domain: hall-a\n\
@@ -54,7 +54,7 @@
          platform: {}\nlimits: {{stop_notice_ms: 200}}\ntrusted_keys:\n",
         fleet.platform.address()
     );
-    // The keys with which a fleet of the bench signs.
+    // The keys with which a benchmark fleet signs its bundles.
     for (name, role, byte) in [("bench-author", "author", 1), ("bench-approver", "approver", 2)] {
         let key = hex::encode(SecretKey::from_bytes([byte; 32]).public().0);
         writeln!(text, "  - {{name: {name}, role: {role}, key: {key}}}").unwrap();
@@ -71,7 +71,7 @@
     text
 }
 
-/// Starts a process beside the fleet's own daemon, and returns where it takes callers.
+/// Starts a process that joins the fleet, and returns it with its address for callers.
 fn start_process(fleet: &Fleet, folder: &std::path::Path) -> (Child, SocketAddr) {
     let file = folder.join("hall-a-2.yaml");
     std::fs::write(&file, settings_yaml(fleet)).unwrap();
@@ -91,7 +91,7 @@
         .and_then(|rest| rest.split(' ').next());
     let address = callers
         .and_then(|address| address.parse().ok())
-        .expect("the daemon tells its ports");
+        .expect("the daemon prints its addresses");
     (child, address)
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// Asks until the process answers, and returns the last outcome.
+/// Sends requests until the process answers one, and returns the last outcome.
 async fn first_outcome(address: SocketAddr) -> Outcome {
     let mut outcome = Outcome::Crossed;
     for _ in 0..200 {
@@ -175,7 +175,7 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        assert!(all_slots, "its slots lapse and go to the other daemon");
+        assert!(all_slots, "the leases of the paused process expire, and its slots go to the other daemon");
         assert_eq!(
             Caller::run(own, "labska", &plan(1)).await.outcome,
             Outcome::Answered
--- a/crates/reedsail_daemon/tests/settings.rs
+++ b/crates/reedsail_daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading settings.
+//! Parses settings of the daemon and checks the reported faults.
 
 use reedsail_daemon::PolicyChoice;
 use reedsail_daemon::Settings;
--- a/crates/reedsail_wire/src/claim_rows.rs
+++ b/crates/reedsail_wire/src/claim_rows.rs
@@ -1,4 +1,4 @@
-//! Writes and reads claims, their ends and their verdicts, in calls and in records of the log.
+//! Encodes and decodes claims, their ends and their verdicts, in calls and in log records.
 
 use capnp::Error;
 use capnp::message::Builder;
@@ -17,19 +17,19 @@
 use crate::peer_capnp::claim_batch;
 use crate::peer_capnp::claim_end;
 
-/// The claims and ends of one append.
+/// The claims and ends that one append writes to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimBatch {
-    /// Tells a record from its own second copy after a lost answer.
+    /// Identifies the record, so that its writer finds it in the log after a lost answer.
     pub id: u64,
-    /// The claims, folded before the ends.
+    /// The claims, which are folded before the ends.
     pub claims: Vec<ClaimRequest>,
     /// The ends.
     pub ends: Vec<ClaimEnd>,
 }
 
 impl ClaimBatch {
-    /// Writes the batch as a record of the log.
+    /// Encodes the batch as a log record.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut message = Builder::new_default();
         let mut batch = message.init_root::<claim_batch::Builder<'_>>();
@@ -42,10 +42,10 @@
         serialize::write_message_to_words(&message)
     }
 
-    /// Reads a record of the log.
+    /// Decodes a log record.
     ///
     /// # Errors
-    /// The record is no batch, or breaks the bounds.
+    /// Returns an error if the record is not a batch, or a list is too long.
     pub fn parse(mut bytes: &[u8]) -> Result<Self, Error> {
         let message =
             serialize::read_message_from_flat_slice(&mut bytes, capnp::message::ReaderOptions::default())?;
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Returns what the fold takes in, in order.
+    /// Returns the records in the order in which they are folded.
     pub fn records(&self) -> Vec<ClaimRecord> {
         let claims = self.claims.iter().map(|claim| ClaimRecord::Claim {
             key: claim.key,
@@ -116,7 +116,7 @@
 
 fn read_key(bytes: &[u8]) -> Result<ClaimKey, Error> {
     let bytes =
-        <[u8; 16]>::try_from(bytes).map_err(|_| Error::failed("a key is not 16 bytes long".to_owned()))?;
+        <[u8; 16]>::try_from(bytes).map_err(|_| Error::failed("an idempotency key is not 16 bytes long".to_owned()))?;
     Ok(ClaimKey(u128::from_be_bytes(bytes)))
 }
 
@@ -137,6 +137,6 @@
         2 => ClaimVerdict::Ended(status),
         3 => ClaimVerdict::Unavailable,
         4 => ClaimVerdict::Unsettled,
-        other => return Err(Error::failed(format!("{other} is no verdict"))),
+        other => return Err(Error::failed(format!("unknown verdict {other}; known verdicts are 0 to 4"))),
     })
 }
--- a/crates/reedsail_wire/src/grant.rs
+++ b/crates/reedsail_wire/src/grant.rs
@@ -1,4 +1,4 @@
-//! Writes and reads grants.
+//! Encodes and decodes grants.
 
 use capnp::Error;
 use reedsail_core::Directory;
--- a/crates/reedsail_wire/src/lib.rs
+++ b/crates/reedsail_wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! What daemons say to each other, over capnp-rpc on counted TCP streams.
+//! The messages between daemons, over capnp-rpc on TCP streams that count their bytes, and the load message
+//! between instances.
 //!
-//! Peers' messages are checked and bounded like callers' requests; a row that names what this
-//! process never met is dropped, since it only means that the sender knows a newer bundle.
+//! Peers' messages are validated and bounded like callers' requests. A row with a name that is unknown to
+//! this process is dropped, since it only means that the sender has a newer bundle.
 
 mod claim_rows;
 mod grant;
--- a/crates/reedsail_wire/src/link.rs
+++ b/crates/reedsail_wire/src/link.rs
@@ -1,4 +1,4 @@
-//! The calling end of a connection between two daemons. Lives on the control thread.
+//! The client side of a connection between two daemons. Runs on the control thread.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,13 +29,13 @@
 use crate::peer_capnp::peer;
 use crate::report::write_report;
 
-/// Why a peer gave no answer.
+/// The reason why a call to a peer got no answer.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The peer could not be connected to; it has seen nothing of the call.
+    /// Connecting to the peer failed, so the peer has not received the call.
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    /// The peer did not answer in time, or broke off; it may have acted on the call.
+    /// The peer did not answer in time, or the connection broke. The peer may have acted on the call.
     #[error("no answer: {0}")]
     NoAnswer(String),
 }
@@ -47,10 +47,10 @@
 }
 
 impl PeerLink {
-    /// Connects; each later call may take as long again.
+    /// Connects to a peer. The time limit applies to connecting and to each later call.
     ///
     /// # Errors
-    /// The peer cannot be reached within `limit_ms` milliseconds.
+    /// Returns an error if the peer cannot be reached within `limit_ms` milliseconds.
     pub async fn open(address: SocketAddr, limit_ms: u64, counter: ByteCounter) -> Result<Self, LinkError> {
         let stream = connect(address, limit_ms, counter)
             .await
@@ -65,17 +65,17 @@
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: peer::Client = system.bootstrap(Side::Server);
         spawn_local(async move {
-            // Its error shows at the call that met it.
+            // The call that meets an error returns it.
             let _ = system.await;
         });
         let limit = Duration::from_millis(limit_ms);
         Ok(Self { client, limit })
     }
 
-    /// Reports to the peer as allocator and returns its grant.
+    /// Sends a report to the peer, which is the allocator, and returns its grant.
     ///
     /// # Errors
-    /// The peer did not answer, or its answer breaks the bounds.
+    /// Returns an error if the peer does not answer, or its answer exceeds a limit.
     pub async fn exchange(&self, report: &Report, directory: &Directory) -> Result<Grant, LinkError> {
         let mut request = self.client.exchange_request();
         write_report(report, directory, request.get().init_report());
@@ -86,10 +86,10 @@
         self.within_limit(answered).await
     }
 
-    /// Has the peer claim keys, and record ends, in the log.
+    /// Asks the peer to claim keys and to record ends in the log.
     ///
     /// # Errors
-    /// The peer did not answer; claims may stand in the log all the same.
+    /// Returns an error if the peer does not answer. Its claims may nevertheless be in the log.
     pub async fn claim(
         &self,
         claims: &[ClaimRequest],
@@ -103,7 +103,7 @@
             let response = request.send().promise.await?;
             let rows = response.get()?.get_verdicts()?;
             if rows.len() != expected {
-                return Err(Error::failed("the verdicts do not match the claims".to_owned()));
+                return Err(Error::failed("the number of verdicts differs from the number of claims".to_owned()));
             }
             rows.iter()
                 .map(|row| read_verdict(row.get_state(), row.get_status()))
@@ -115,7 +115,7 @@
     /// Fetches the checkpoint record of the peer's bundle, if it has a newer version.
     ///
     /// # Errors
-    /// The peer did not answer.
+    /// Returns an error if the peer does not answer.
     pub async fn fetch_bundle(&self, known_version: u32) -> Result<Option<Vec<u8>>, LinkError> {
         let mut request = self.client.bundle_request();
         request.get().set_known_version(known_version);
@@ -133,7 +133,7 @@
         match timeout(self.limit, call).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) => Err(LinkError::NoAnswer(error.to_string())),
-            Err(_) => Err(LinkError::NoAnswer("it took too long".to_owned())),
+            Err(_) => Err(LinkError::NoAnswer("the call timed out".to_owned())),
         }
     }
 }
--- a/crates/reedsail_wire/src/load_message.rs
+++ b/crates/reedsail_wire/src/load_message.rs
@@ -1,4 +1,5 @@
-//! The load message: the datagram by which instances gossip their load and what they know.
+//! The load message: the datagram by which instances gossip their load, their members and the state that they
+//! know.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -25,13 +26,13 @@
 use crate::load_capnp::suspect_row;
 use crate::load_capnp::workspace_use_row;
 
-/// Rows of one list at most.
+/// The maximum number of rows in one list.
 const ROWS_MAX: u32 = 4_096;
-/// Words of eight bytes that reading a message may touch at most, against messages that name the same
-/// bytes again and again.
+/// The maximum number of words, of eight bytes each, that decoding a message may read. It bounds the work for
+/// a message that refers to the same bytes repeatedly.
 const TRAVERSAL_WORDS_MAX: usize = 64 << 10;
 
-/// What the load in a message stands for.
+/// The instances whose load a message contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadScope {
     /// The sender's own load, sent to every peer.
@@ -43,7 +44,8 @@
     Aggregate,
     /// The sum over all instances, sent by an aggregator to its members.
     Fleet,
-    /// Nothing: a heartbeat, which says what the sender knows; the load of its last report still counts.
+    /// No load. The message is a heartbeat with the other state that the sender knows, and the load of its
+    /// last report stays valid.
     Heartbeat,
 }
 
@@ -66,7 +68,7 @@
             3 => Ok(Self::Fleet),
             4 => Ok(Self::Heartbeat),
             _ => Err(capnp::Error::failed(format!(
-                "a load message has the scope {number}; known are 0 to 4"
+                "unknown scope {number} in a load message; known scopes are 0 to 4"
             ))),
         }
     }
@@ -77,11 +79,11 @@
 pub struct MemberRow {
     /// The instance.
     pub instance: NameHash,
-    /// Where it receives load messages.
+    /// The address where it receives load messages.
     pub address: SocketAddrV4,
-    /// Its failure domain; zero where the sender knows none.
+    /// Its failure domain, or zero if the sender does not know it.
     pub failure_domain: NameHash,
-    /// The share of a core that it may use, in thousandths; zero where the sender knows none.
+    /// The share of a core that it may use, in thousandths, or zero if the sender does not know it.
     pub processor_milli: u32,
 }
 
@@ -90,54 +92,57 @@
 pub struct IncludedRow {
     /// The member.
     pub instance: NameHash,
-    /// The sequence of the message from which its load was taken.
+    /// The sequence number of the message with its load.
     pub sequence: u32,
 }
 
-/// What one instance sends to another; a lost message is replaced by the next.
+/// A load message from one instance to another. It is not retransmitted: the next message replaces a lost
+/// one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadMessage {
     /// The sending instance.
     pub instance: NameHash,
-    /// Changes at every start of the sender.
+    /// The number that identifies this start of the sender.
     pub incarnation: u32,
-    /// Grows by one with each message.
+    /// The sequence number, which increases by one with each message.
     pub sequence: u32,
     /// The sender's failure domain.
     pub failure_domain: NameHash,
-    /// The configuration that the sender has in force; zero for none.
+    /// The version of the configuration that the sender has in force, or zero if there is none.
     pub configuration_version: u64,
     /// How long ago that configuration was known to be the newest, in milliseconds.
     pub configuration_age_ms: u32,
-    /// The place in the store's log up to which the sender knows the backend servers.
+    /// The position in the store's log up to which the sender's list of backend servers is current.
     pub servers_revision: StorePosition,
     /// The digest of the sender's list of backend servers.
     pub servers_digest: u64,
-    /// How old the sender's list of backend servers is, in milliseconds.
+    /// The age of the sender's list of backend servers, in milliseconds.
     pub servers_age_ms: u32,
-    /// The sender is stopping.
+    /// Whether the sender is stopping.
     pub is_stopping: bool,
-    /// What the load stands for.
+    /// The instances whose load the message contains.
     pub scope: LoadScope,
-    /// Which aggregators the sender knows of: zero for none at all, as the first release sent it.
+    /// The sender's version of the aggregation protocol. Zero means no aggregators at all, as in the first
+    /// release.
     pub protocol: u8,
     /// The share of a core that the sender may use, in thousandths.
     pub processor_milli: u32,
-    /// Its load, or a sum.
+    /// The load of the sender, or a sum of loads.
     pub load: LoadReport,
-    /// The members that a sum includes, the sender among them.
+    /// The members whose load a sum includes, with the sender.
     pub included: Vec<IncludedRow>,
-    /// How many instances the sum is over; zero where the load is no sum.
+    /// The number of instances in the sum, or zero if the load is not a sum.
     pub instances: u32,
-    /// How many instances of its failure domain the sender knows; zero where the load is no sum.
+    /// The number of instances of its failure domain that the sender knows, or zero if the load is not a sum.
     pub domain_instances: u32,
-    /// Mean age of the summed load when it was sent, in milliseconds.
+    /// The mean age of the summed load when it was sent, in milliseconds.
     pub load_age_ms: u32,
-    /// After what time the sender reports its load again, in milliseconds; zero from senders that do not say so.
+    /// The time until the sender reports its load again, in milliseconds, or zero if the sender does not
+    /// state it.
     pub load_interval_ms: u32,
-    /// Backend servers that the sender knows to be draining or departed.
+    /// Backend servers that are draining or departed according to the sender.
     pub departures: Vec<NameHash>,
-    /// The failure domains that the sender knows to be, or to have been, evacuated.
+    /// The failure domains that are evacuated, or were evacuated earlier, according to the sender.
     pub evacuations: Vec<EvacuationRow>,
     /// Some of the instances that the sender knows.
     pub members: Vec<MemberRow>,
@@ -147,7 +152,7 @@
     /// Encodes the message.
     ///
     /// # Errors
-    /// The codec's; none for a message that fits into memory.
+    /// Returns the codec's error. Encoding a message that fits into memory does not fail.
     pub fn encode(&self) -> Result<Vec<u8>, capnp::Error> {
         let mut message = Builder::new_default();
         let mut root = message.init_root::<load_report::Builder<'_>>();
@@ -180,7 +185,8 @@
         root.set_load_interval_ms(self.load_interval_ms);
     }
 
-    /// Writes the load. The schema says unread tokens for tokens to prefill, and part for segment.
+    /// Writes the load. In the schema, prefill tokens are called unread tokens, and segments are called
+    /// parts.
     fn write_load(&self, root: &mut load_report::Builder<'_>) {
         let mut servers = root.reborrow().init_servers(self.load.servers.len() as u32);
         for (index, row) in (0..).zip(&self.load.servers) {
@@ -230,7 +236,8 @@
         }
     }
 
-    /// Writes departures, which the schema calls leaving, members, and what a sum includes.
+    /// Writes the departures, the members, and the members that a sum includes. The schema calls departures
+    /// leaving.
     fn write_membership(&self, root: &mut load_report::Builder<'_>) {
         let mut departures = root.reborrow().init_leaving(self.departures.len() as u32);
         for (index, server) in (0..).zip(&self.departures) {
@@ -271,10 +278,10 @@
         }
     }
 
-    /// Decodes a message; every list is bounded.
+    /// Decodes a message. The length of every list is limited.
     ///
     /// # Errors
-    /// The bytes are no such message, or a list is longer than any instance sends.
+    /// Returns an error if the bytes are not a load message, or a list is longer than any instance sends.
     pub fn decode(mut bytes: &[u8]) -> Result<Self, capnp::Error> {
         let mut options = ReaderOptions::new();
         options.traversal_limit_in_words(Some(TRAVERSAL_WORDS_MAX));
@@ -401,14 +408,14 @@
 fn check_rows(rows: u32) -> Result<(), capnp::Error> {
     if rows > ROWS_MAX {
         return Err(capnp::Error::failed(format!(
-            "a load message has {rows} rows; at most {ROWS_MAX} are read"
+            "a list in a load message has {rows} rows; at most {ROWS_MAX} are accepted"
         )));
     }
     Ok(())
 }
 
-/// Reads a cost from a peer. What is no amount counts as zero: it would poison every sum that it enters,
-/// and a peer that sends it is at fault, not the workspace.
+/// Returns a cost from a peer, or zero if it is negative, infinite or NaN. An invalid cost would make every
+/// sum that includes it useless, and it is the peer's fault, not the workspace's.
 fn valid_cost(cost: f32) -> f32 {
     if cost.is_finite() { cost.max(0.0) } else { 0.0 }
 }
--- a/crates/reedsail_wire/src/message.rs
+++ b/crates/reedsail_wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages as the rest of the program sees them, and how far a peer is trusted in them.
+//! The messages as the rest of the program uses them, and the limits enforced on messages from peers.
 
 use capnp::Error;
 use reedsail_core::NameHash;
@@ -8,9 +8,9 @@
 use reedsail_scheduling::ServiceGrant;
 use reedsail_scheduling::ServiceReport;
 
-/// The most rows of one kind that a message may carry.
+/// The maximum number of rows of one kind in a message.
 pub(crate) const ROWS_MAX: u32 = 16_384;
-/// The most services that a message may speak of.
+/// The maximum number of services in a message.
 pub(crate) const SERVICES_MAX: u32 = 1_024;
 
 /// A member's report on all services for which the receiver is its allocator.
@@ -18,32 +18,32 @@
 pub struct Report {
     /// The reporting daemon.
     pub sender: NameHash,
-    /// Changes with each start of the daemon.
+    /// The number that identifies this start of the daemon.
     pub incarnation: u32,
     /// The sender's event clock.
     pub clock: u64,
     /// The version of the bundle that the sender has in force.
     pub bundle_version: u32,
-    /// Set when the sender is stopping.
+    /// Whether the sender is stopping.
     pub leaving: bool,
     /// The reports by service.
     pub services: Vec<(ServiceKey, ServiceReport)>,
     /// Daemons that did not answer the sender.
     pub suspects: Vec<NameHash>,
-    /// Backend servers that the platform told the sender are leaving.
+    /// Backend servers that are leaving according to the platform.
     pub servers_leaving: Vec<NameHash>,
 }
 
-/// The allocator's answer.
+/// The allocator's answer to a report.
 #[derive(Clone, Debug, Default)]
 pub struct Grant {
-    /// The answering daemon's incarnation: a new one knows none of the member's counters.
+    /// The answering daemon's incarnation. After a change, it knows none of the member's counters.
     pub incarnation: u32,
     /// The answering daemon's event clock.
     pub clock: u64,
-    /// When the member is to report next, counted from its report.
+    /// When the member should send its next report, as time after this report.
     pub next_report_ms: u32,
-    /// How long the leases last, counted from the report.
+    /// The duration of the leases, as time after the report.
     pub lease_ms: u32,
     /// The leases by service.
     pub services: Vec<(ServiceKey, ServiceGrant)>,
@@ -56,7 +56,7 @@
 pub struct ClaimRequest {
     /// The key.
     pub key: ClaimKey,
-    /// The try.
+    /// The number that identifies the attempt.
     pub nonce: Nonce,
 }
 
@@ -65,44 +65,44 @@
 pub struct ClaimEnd {
     /// The key.
     pub key: ClaimKey,
-    /// The try.
+    /// The number that identifies the attempt.
     pub nonce: Nonce,
     /// The backend server's status, or zero if the call was never sent.
     pub status: u16,
 }
 
-/// What became of a claim.
+/// The outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The try holds the key and may run, once.
+    /// This attempt holds the key, and the call may run once.
     Held,
-    /// Another try holds the key and has no known end.
+    /// Another attempt holds the key, and its end is unknown.
     InUse,
-    /// The call ran earlier, with this status.
+    /// An earlier attempt ran and ended with this status.
     Ended(u16),
-    /// The log cannot be reached, and the claim is in none of its records for sure.
+    /// The log is unreachable, and the claim is certainly not in any of its records.
     Unavailable,
-    /// The claim may stand in the log, but nobody could read whether.
+    /// The claim may be in the log, but the log could not be read to check.
     Unsettled,
 }
 
-/// Refuses a list that is longer than any honest peer would send.
+/// Rejects a list that is longer than any correct peer sends.
 pub(crate) fn check_rows(length: u32, most: u32) -> Result<(), Error> {
     if length > most {
         return Err(Error::failed(format!(
-            "a list of {length} rows is over the limit of {most}"
+            "a list has {length} rows; at most {most} are accepted"
         )));
     }
     Ok(())
 }
 
-/// Keeps the upper half of a number's bits, a precision of one in 256: enough for what is a hint to
-/// the next allocator or is divided by anyway, and the zeros cost next to nothing on the wire.
+/// Keeps the upper half of a number's bits, a precision of one in 256. That is enough for a hint to the next
+/// allocator or for a divisor, and the zero bits need almost no bytes on the wire.
 pub(crate) fn coarse(number: f64) -> f32 {
     f32::from_bits((number as f32).to_bits() & 0xffff_0000)
 }
 
-/// Refuses numbers that would poison every sum they enter.
+/// Rejects infinite numbers and NaN, which would make every sum that includes them useless.
 pub(crate) fn check_finite(number: f64) -> Result<f64, Error> {
     if number.is_finite() {
         return Ok(number);
--- a/crates/reedsail_wire/src/report.rs
+++ b/crates/reedsail_wire/src/report.rs
@@ -1,4 +1,4 @@
-//! Writes and reads reports.
+//! Encodes and decodes reports.
 
 use capnp::Error;
 use reedsail_core::Directory;
@@ -105,7 +105,7 @@
     let kind = match reader.get_kind() {
         0 => MemberKind::Instance,
         1 => MemberKind::Domain,
-        other => return Err(Error::failed(format!("{other} is no kind of member"))),
+        other => return Err(Error::failed(format!("unknown member kind {other}; known kinds are 0 and 1"))),
     };
     let slot_rows = reader.get_slots()?;
     let resting_rows = reader.get_resting()?;
--- a/crates/reedsail_wire/src/server.rs
+++ b/crates/reedsail_wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering end of connections between daemons. Lives on the control thread.
+//! The server side of connections between daemons. Runs on the control thread.
 
 use std::rc::Rc;
 
@@ -28,15 +28,15 @@
 use crate::peer_capnp::peer;
 use crate::report::read_report;
 
-/// The most words of a peer's message that are read (8 bytes each).
+/// The maximum number of words, of 8 bytes each, that are read of a peer's message.
 const MESSAGE_WORDS_MAX: usize = 4 << 20;
 
-/// What a daemon does with its peers' calls.
+/// Handles the calls of peers.
 pub trait PeerHandler: 'static {
-    /// Runs `use_it` with the names that the daemon has met.
+    /// Calls `use_it` with the names that the daemon knows.
     fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T;
 
-    /// Answers a report.
+    /// Answers a report with a grant.
     fn exchange(&self, report: Report) -> impl Future<Output = Grant> + 'static;
 
     /// Claims keys and records ends.
@@ -46,14 +46,14 @@
         ends: Vec<ClaimEnd>,
     ) -> impl Future<Output = Vec<ClaimVerdict>> + 'static;
 
-    /// Returns the version in force and its checkpoint record.
+    /// Returns the version of the bundle in force and its checkpoint record.
     fn bundle(&self) -> impl Future<Output = Option<(u32, Vec<u8>)>> + 'static;
 }
 
-/// Takes peers' connections until the task is dropped.
+/// Serves peers' connections until the task is dropped.
 ///
 /// # Errors
-/// The system's, when the listener fails.
+/// Returns the I/O error if the listener fails.
 pub async fn serve_peers<H: PeerHandler>(
     listener: TcpListener,
     handler: Rc<H>,
@@ -74,7 +74,7 @@
         let client: peer::Client = capnp_rpc::new_client(server);
         let system = RpcSystem::new(Box::new(network), Some(client.client));
         spawn_local(async move {
-            // A peer that breaks off shows at its own end.
+            // If the connection breaks, the calling peer reports the error.
             let _ = system.await;
         });
     }
--- a/crates/reedsail_wire/tests/golden.rs
+++ b/crates/reedsail_wire/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of every message between instances, pinned: instances of two releases talk to each
-//! other during a rollout, and claim records outlive the instance that wrote them.
+//! Compatibility of every message between instances: instances of two releases exchange messages during a
+//! rollout, and claim records outlive the instance that wrote them.
 //!
-//! Each test compares freshly written bytes with kept ones, and reads the kept ones back.
+//! Each test compares newly encoded bytes with the bytes in a snapshot, and decodes those in the snapshot.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -52,7 +52,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How long a connection stays quiet before its message counts as complete.
+/// How long a connection must be quiet before its message counts as complete.
 const QUIET: Duration = Duration::from_millis(300);
 
 /// Formats bytes as lines of 32, so that a changed field shows as a changed line.
@@ -61,7 +61,7 @@
     lines.join("\n")
 }
 
-/// Reads the bytes that a snapshot of this file holds.
+/// Reads the bytes in a snapshot of this file.
 fn kept(name: &str) -> Vec<u8> {
     let file = format!(
         "{}/tests/snapshots/golden__{name}.snap",
@@ -255,7 +255,7 @@
     }
 }
 
-/// Answers with fixed values, and keeps what it was asked.
+/// A handler that answers with fixed values and records the requests.
 #[derive(Clone)]
 struct Recorder {
     directory: Rc<Directory>,
@@ -327,7 +327,7 @@
     }
 }
 
-/// Unpacks what one end of a connection sends until it is quiet.
+/// Decompresses the bytes received on a connection until it is quiet.
 async fn read_until_quiet(stream: &mut DeflateStream<TcpStream>) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut buffer = vec![0; 64 << 10];
@@ -340,7 +340,7 @@
     bytes
 }
 
-/// Runs one call against a peer that never answers, and returns the bytes that the caller sent.
+/// Runs one call to a peer that never answers, and returns the bytes that the caller sent.
 async fn sent_by<F: Future<Output = ()>>(call: impl FnOnce(PeerLink) -> F) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -353,7 +353,7 @@
     bytes
 }
 
-/// Sends kept bytes to an instance, and returns the bytes of its answer.
+/// Sends the bytes of a request to a server with `handler`, and returns the bytes of its answer.
 async fn answer_to(request: &[u8], handler: Recorder) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/reedsail_wire/tests/load_message.rs
+++ b/crates/reedsail_wire/tests/load_message.rs
@@ -1,4 +1,4 @@
-//! Load messages: what is written is read, and nothing read does harm.
+//! Load messages: a decoded message equals the encoded one, and invalid bytes are rejected without a panic.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -114,7 +114,7 @@
 
     #[test]
     fn bytes_of_any_kind_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        // Either outcome will do; what must not happen is a panic or an endless read.
+        // Both outcomes are fine. The test guards against a panic and an endless read.
         let _ = LoadMessage::decode(&bytes);
     }
 
@@ -148,7 +148,7 @@
     assert_eq!(
         differing.len(),
         1,
-        "the two differ in the byte of the scope alone"
+        "the two messages differ only in the byte of the scope"
     );
     bytes[differing[0]] = 9;
     assert!(LoadMessage::decode(&bytes).is_err());
--- a/crates/reedsail_wire/tests/wire.rs
+++ b/crates/reedsail_wire/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Records and messages between daemons: what is written is read, and nothing read does harm.
+//! Log records and calls between daemons: decoded values equal the encoded ones, and invalid bytes do no
+//! harm.
 
 use std::rc::Rc;
 
@@ -63,7 +64,7 @@
         let place = place % bytes.len();
         bytes[place] = byte;
         bytes.truncate(cut % (bytes.len() + 1));
-        // Read or refused; both are fine.
+        // Both outcomes are fine. The test guards against a panic.
         let _ = ClaimBatch::parse(&bytes);
     }
 }
@@ -126,7 +127,7 @@
     }
 }
 
-/// Answers with what the request said, as far as that fits an answer.
+/// A handler that copies values of the request into its answer.
 struct Echo(Directory);
 
 impl PeerHandler for Echo {
@@ -248,7 +249,7 @@
         nonsense.write_all(&[0xff; 4_096]).await.unwrap();
         let mut answer = Vec::new();
         let _ = nonsense.read_to_end(&mut answer).await;
-        // The next peer is served as ever.
+        // The next peer is still served.
         let link = PeerLink::open(address, 5_000, ByteCounter::default())
             .await
             .unwrap();
