--- a/crates/reedsail_daemon/src/claims/dispatcher.rs
+++ b/crates/reedsail_daemon/src/claims/dispatcher.rs
@@ -26,18 +26,18 @@
 use crate::control::PeerAddress;
 
 /// How long jobs are gathered before they are sent to the writers.
-const GATHER_MS: u64 = 5;
+const GATHER_WINDOW_MS: u64 = 5;
 /// The maximum number of jobs received at once.
-const JOBS_MAX: usize = 4_096;
+const ROUND_JOBS_MAX: usize = 4_096;
 /// How many other daemons are tried before this daemon writes the claims itself.
-const WRITERS_TRIED_MAX: usize = 1;
+const REMOTE_WRITERS_TRIED_MAX: usize = 1;
 /// The maximum length of a writer's queue, in jobs.
 const WRITER_QUEUE_MAX: usize = 4_096;
 
 /// The claims and ends of one round that belong to one shard.
 #[derive(Debug, Default)]
 struct ShardPart {
-    /// The index of each claim in the list of the call.
+    /// The index of each claim in the original list.
     indices: Vec<usize>,
     claims: Vec<ClaimRequest>,
     replies: Vec<oneshot::Sender<ClaimVerdict>>,
@@ -129,19 +129,19 @@
         names.push(self.own_name);
         let role = XxHash64::oneshot(shard as u64, b"claim writer");
         let ranked = rank_by_rendezvous(role, &names);
-        let mut may_stand = false;
+        let mut may_be_recorded = false;
         let others = ranked.into_iter().take_while(|name| *name != self.own_name);
-        for name in others.take(WRITERS_TRIED_MAX) {
+        for name in others.take(REMOTE_WRITERS_TRIED_MAX) {
             let Some(writer) = daemons.iter().find(|daemon| daemon.name == name) else {
                 continue;
             };
             match self.links.claim(writer, claims, ends).await {
                 Ok(verdicts) => return verdicts,
-                Err(error) => may_stand |= !matches!(error, reedsail_wire::LinkError::Connect(_)),
+                Err(error) => may_be_recorded |= !matches!(error, reedsail_wire::LinkError::Connect(_)),
             }
         }
         let mut verdicts = self.write_here(claims.to_vec(), ends.to_vec()).await;
-        if may_stand {
+        if may_be_recorded {
             for verdict in &mut verdicts {
                 if *verdict == ClaimVerdict::Unavailable {
                     *verdict = ClaimVerdict::Unsettled;
@@ -158,8 +158,8 @@
     mut jobs: mpsc::Receiver<ClaimJob>,
 ) {
     let mut round = Vec::new();
-    while jobs.recv_many(&mut round, JOBS_MAX).await > 0 {
-        sleep(Duration::from_millis(GATHER_MS)).await;
+    while jobs.recv_many(&mut round, ROUND_JOBS_MAX).await > 0 {
+        sleep(Duration::from_millis(GATHER_WINDOW_MS)).await;
         while let Ok(job) = jobs.try_recv() {
             round.push(job);
         }
--- a/crates/reedsail_daemon/src/claims/writer.rs
+++ b/crates/reedsail_daemon/src/claims/writer.rs
@@ -35,7 +35,7 @@
 /// The number of batches after which the state of an unused stream is dropped. It can be read again.
 const IDLE_BATCHES_MAX: u64 = 10_000;
 /// The maximum number of ends kept while the log is unreachable.
-const ENDS_KEPT_MAX: usize = 100_000;
+const PENDING_ENDS_MAX: usize = 100_000;
 
 /// Claims and ends for one shard, from one daemon.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
     settings: ClaimSettings,
     platform: Rc<PlatformClient>,
     buckets: HashMap<u64, Bucket>,
-    ends_kept: Vec<ClaimEnd>,
+    pending_ends: Vec<ClaimEnd>,
     batches: u64,
 }
 
@@ -70,7 +70,7 @@
         while let Ok(job) = jobs.try_recv() {
             batch.push(job);
         }
-        writer.settle(batch).await;
+        writer.write_jobs(batch).await;
     }
 }
 
@@ -81,16 +81,16 @@
             settings,
             platform,
             buckets: HashMap::new(),
-            ends_kept: Vec::new(),
+            pending_ends: Vec::new(),
             batches: 0,
         }
     }
 
     /// Writes the claims and ends of the jobs and replies to each job.
-    async fn settle(&mut self, jobs: Vec<WriterJob>) {
+    async fn write_jobs(&mut self, jobs: Vec<WriterJob>) {
         self.batches += 1;
         let mut by_bucket: HashMap<u64, (Vec<ClaimRequest>, Vec<ClaimEnd>)> = HashMap::new();
-        for end in std::mem::take(&mut self.ends_kept) {
+        for end in std::mem::take(&mut self.pending_ends) {
             by_bucket.entry(bucket_of(end.key)).or_default().1.push(end);
         }
         for job in &jobs {
@@ -103,13 +103,13 @@
         }
         let mut verdicts: HashMap<ClaimRequest, ClaimVerdict> = HashMap::new();
         for (bucket, (claims, ends)) in by_bucket {
-            let settled = self.settle_bucket(bucket, &claims, &ends).await;
-            if matches!(settled, Settled::Unavailable | Settled::Unsettled) {
-                let room = ENDS_KEPT_MAX.saturating_sub(self.ends_kept.len());
-                self.ends_kept.extend(ends.into_iter().take(room));
+            let outcome = self.write_bucket(bucket, &claims, &ends).await;
+            if matches!(outcome, BatchOutcome::Unavailable | BatchOutcome::Unsettled) {
+                let room = PENDING_ENDS_MAX.saturating_sub(self.pending_ends.len());
+                self.pending_ends.extend(ends.into_iter().take(room));
             }
             for (index, claim) in claims.iter().enumerate() {
-                verdicts.insert(*claim, settled.verdict(index));
+                verdicts.insert(*claim, outcome.verdict(index));
             }
         }
         for job in jobs {
@@ -128,7 +128,12 @@
 
     /// Appends one record and reads the stream until the record is found. An append whose answer was lost is
     /// looked for in the stream before it is retried. A second copy of a record has no effect.
-    async fn settle_bucket(&mut self, bucket: u64, claims: &[ClaimRequest], ends: &[ClaimEnd]) -> Settled {
+    async fn write_bucket(
+        &mut self,
+        bucket: u64,
+        claims: &[ClaimRequest],
+        ends: &[ClaimEnd],
+    ) -> BatchOutcome {
         let stream = format!("claims-{}-{bucket}", self.shard);
         let batch = ClaimBatch {
             id: rand::random(),
@@ -139,40 +144,40 @@
         let entry = self.buckets.entry(bucket).or_default();
         entry.used_at_batch = self.batches;
         let deadline = Instant::now() + Duration::from_millis(SETTLE_LIMIT_MS);
-        let mut may_stand = false;
+        let mut may_be_recorded = false;
         while Instant::now() < deadline {
             let appended = self.platform.append(&stream, record.clone()).await;
             match &appended {
-                Ok(_) => may_stand = true,
-                Err(error) => may_stand |= error.may_have_taken_effect(),
+                Ok(_) => may_be_recorded = true,
+                Err(error) => may_be_recorded |= error.may_have_taken_effect(),
             }
-            if may_stand {
+            if may_be_recorded {
                 let until = appended.ok();
                 if let Some(verdicts) =
                     read_back(&self.platform, &stream, &mut entry.fold, &batch, until, deadline).await
                 {
-                    return Settled::Known(verdicts);
+                    return BatchOutcome::Known(verdicts);
                 }
             }
             sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
         }
-        if may_stand {
-            Settled::Unsettled
+        if may_be_recorded {
+            BatchOutcome::Unsettled
         } else {
-            Settled::Unavailable
+            BatchOutcome::Unavailable
         }
     }
 }
 
 /// The outcome of a batch.
 #[derive(Debug)]
-enum Settled {
+enum BatchOutcome {
     Known(Vec<ClaimVerdict>),
     Unavailable,
     Unsettled,
 }
 
-impl Settled {
+impl BatchOutcome {
     fn verdict(&self, index: usize) -> ClaimVerdict {
         match self {
             Self::Known(verdicts) => verdicts[index],
--- a/crates/reedsail_daemon/src/control/actor.rs
+++ b/crates/reedsail_daemon/src/control/actor.rs
@@ -54,15 +54,16 @@
     pub(super) follower: BundleFollower,
     /// When the first bundle was put in force on this daemon.
     pub(super) applied_at: Option<TimeMs>,
-    pub(super) log_caught_up: bool,
-    pub(super) log_reachable: bool,
+    pub(super) is_log_caught_up: bool,
+    pub(super) is_log_reachable: bool,
     pub(super) log_lost_at: Option<TimeMs>,
     /// When the log last confirmed the version in force, by the log's clock.
     pub(super) in_force_seen_unix_ms: u64,
-    pub(super) checkpoint_under_way: bool,
+    pub(super) is_checkpoint_pending: bool,
     /// When this daemon noticed that the log dropped records before it read them.
-    pub(super) unsure_since: Option<TimeMs>,
-    pub(super) behind_since: Option<(TimeMs, NameHash)>,
+    pub(super) log_gap_since: Option<TimeMs>,
+    /// The peer that has a newer version of the bundle, and when this daemon noticed.
+    pub(super) newer_version_at_peer: Option<(TimeMs, NameHash)>,
     pub(super) membership: Membership,
     pub(super) servers_leaving: HashSet<NameHash>,
     pub(super) advertised_departures: HashMap<NameHash, TimeMs>,
@@ -78,7 +79,7 @@
     pub(super) paced_bytes: u64,
     pub(super) paced_exchanges: u64,
     pub(super) ticks: u64,
-    pub(super) stopping: bool,
+    pub(super) is_stopping: bool,
 }
 
 impl<P: SharePolicy> Control<P> {
@@ -88,7 +89,7 @@
         domain_daemons: watch::Sender<Vec<PeerAddress>>,
     ) -> Self {
         let settings = &shared.settings;
-        let membership = known_peers(settings);
+        let membership = peers_from_settings(settings);
         Self {
             own_name: NameHash::of(&settings.instance),
             own_domain: NameHash::of(&settings.failure_domain),
@@ -97,13 +98,13 @@
             actions,
             domain_daemons,
             applied_at: None,
-            log_caught_up: false,
-            log_reachable: true,
+            is_log_caught_up: false,
+            is_log_reachable: true,
             log_lost_at: None,
             in_force_seen_unix_ms: 0,
-            checkpoint_under_way: false,
-            unsure_since: None,
-            behind_since: None,
+            is_checkpoint_pending: false,
+            log_gap_since: None,
+            newer_version_at_peer: None,
             membership,
             servers_leaving: HashSet::new(),
             advertised_departures: HashMap::new(),
@@ -118,14 +119,14 @@
             paced_bytes: 0,
             paced_exchanges: 0,
             ticks: 0,
-            stopping: false,
+            is_stopping: false,
             shared,
         }
     }
 }
 
 /// Returns the peers that the settings name, which are used until the platform's list is known.
-fn known_peers(settings: &Settings) -> Membership {
+fn peers_from_settings(settings: &Settings) -> Membership {
     let mut membership = Membership::default();
     let others = settings
         .peers
@@ -164,7 +165,7 @@
     type Return = ();
 
     async fn handle(&mut self, done: ExchangeDone, _context: &mut Context<Self>) {
-        self.conclude_exchange(done);
+        self.finish_exchange(done);
     }
 }
 
@@ -189,7 +190,7 @@
     type Return = ();
 
     async fn handle(&mut self, done: CheckpointDone, _context: &mut Context<Self>) {
-        self.conclude_checkpoint(done.0);
+        self.finish_checkpoint(done.0);
     }
 }
 
@@ -197,7 +198,7 @@
     type Return = ();
 
     async fn handle(&mut self, changed: InstancesChanged, _context: &mut Context<Self>) {
-        self.take_in_instances(&changed.0);
+        self.apply_instance_list(&changed.0);
     }
 }
 
@@ -205,7 +206,7 @@
     type Return = ();
 
     async fn handle(&mut self, fetched: BundleFetched, _context: &mut Context<Self>) {
-        self.learn_bundle(&fetched.0);
+        self.apply_peer_bundle(&fetched.0);
     }
 }
 
--- a/crates/reedsail_daemon/src/control/allocation.rs
+++ b/crates/reedsail_daemon/src/control/allocation.rs
@@ -21,13 +21,13 @@
 /// The interval at which idle state is dropped, in ticks.
 const COMPACT_EVERY_TICKS: u64 = 300;
 /// The interval at which a frozen thread checks whether it may continue.
-const FROZEN_LOOK_MS: u64 = 10;
+const FROZEN_POLL_MS: u64 = 10;
 /// How long a departure that a peer advertised stays valid, in milliseconds.
-const HEARSAY_LEAVING_MS: u64 = 30_000;
+const ADVERTISED_DEPARTURE_VALID_MS: u64 = 30_000;
 
 impl<P: SharePolicy> Control<P> {
     pub(super) fn tick(&mut self) {
-        self.stand_still_if_frozen();
+        self.block_while_frozen();
         let now = self.shared.clock.now();
         self.ticks += 1;
         self.note_pause(now);
@@ -47,7 +47,7 @@
         }
         self.pace(now);
         self.send_reports(now);
-        self.keep_bundle(now);
+        self.maintain_bundle(now);
     }
 
     /// Lets the allocators detect that this thread was paused, before they lease any slots.
@@ -58,9 +58,9 @@
     }
 
     /// Blocks the thread while a fault script freezes this instance, to simulate a paused process.
-    fn stand_still_if_frozen(&self) {
+    fn block_while_frozen(&self) {
         while self.shared.gate.is_frozen(&self.shared.settings.instance) {
-            std::thread::sleep(std::time::Duration::from_millis(FROZEN_LOOK_MS));
+            std::thread::sleep(std::time::Duration::from_millis(FROZEN_POLL_MS));
         }
     }
 
@@ -88,16 +88,16 @@
     pub(super) fn refresh_allocators(&mut self, now: TimeMs) {
         let services: Vec<ServiceKey> = self.allocators.keys().copied().collect();
         for service in services {
-            let is_mine = self.allocator_of(service, self.own_domain, now) == Some(self.own_name);
+            let is_allocator = self.allocator_of(service, self.own_domain, now) == Some(self.own_name);
             let allocator = self.allocators.get_mut(&service);
             let is_idle = allocator.is_some_and(|allocator| {
                 allocator.expire(now);
-                if !is_mine {
+                if !is_allocator {
                     allocator.begin_settling(now);
                 }
                 allocator.member_count() == 0
             });
-            if !is_mine && is_idle {
+            if !is_allocator && is_idle {
                 self.allocators.remove(&service);
                 self.domain_assignments.retain(|(of, _), _| *of != service);
                 let name = self
@@ -115,23 +115,23 @@
     /// Updates the servers, the number of daemons and the weights of an allocator.
     fn refresh_allocator(&mut self, service: ServiceKey, now: TimeMs) {
         let others = self.membership.lease_holders(self.own_domain, now).len();
-        let daemons = others + usize::from(!self.stopping);
+        let daemons = others + usize::from(!self.is_stopping);
         let view = self.shared.view.load();
         let Some(found) = view.service(service) else {
             return;
         };
         let mut servers = Vec::new();
         for (key, server) in &found.servers {
-            let Some(described) = found.service.servers.get(&server.name) else {
+            let Some(server_settings) = found.service.servers.get(&server.name) else {
                 continue;
             };
-            if described.domain != self.shared.settings.failure_domain {
+            if server_settings.domain != self.shared.settings.failure_domain {
                 continue;
             }
-            let leaving = self.is_server_leaving(NameHash::of(&server.name), now);
+            let is_leaving = self.is_server_leaving(NameHash::of(&server.name), now);
             servers.push(ServerCapacity {
                 server: *key,
-                slots: if leaving { 0 } else { described.slots },
+                slots: if is_leaving { 0 } else { server_settings.slots },
             });
         }
         servers.sort_by_key(|server| server.server);
@@ -153,7 +153,7 @@
         }
         let mut is_new = false;
         for server in servers {
-            let until = now.plus_ms(HEARSAY_LEAVING_MS);
+            let until = now.plus_ms(ADVERTISED_DEPARTURE_VALID_MS);
             is_new |= self.advertised_departures.insert(*server, until).is_none();
         }
         if is_new {
@@ -173,7 +173,7 @@
     }
 
     /// Applies changes of the platform's instance list.
-    pub(super) fn take_in_instances(&mut self, list: &InstanceList) {
+    pub(super) fn apply_instance_list(&mut self, list: &InstanceList) {
         self.replan();
         let now = self.shared.clock.now();
         for instance in &list.instances {
@@ -182,13 +182,13 @@
                 InstanceKind::Daemon => match instance.state {
                     InstanceState::Gone => self.membership.unlist(&instance.name),
                     InstanceState::Live | InstanceState::Leaving => {
-                        let leaving = instance.state == InstanceState::Leaving;
+                        let is_leaving = instance.state == InstanceState::Leaving;
                         let address = instance.address.to_string();
                         self.membership
-                            .list(&instance.name, &instance.failure_domain, &address, leaving);
+                            .list(&instance.name, &instance.failure_domain, &address, is_leaving);
                     }
                 },
-                InstanceKind::Server => self.take_in_server(&instance.name, instance.state),
+                InstanceKind::Server => self.apply_server_state(&instance.name, instance.state),
             }
         }
         self.mark_servers_leaving(now);
@@ -196,7 +196,7 @@
         self.publish_domain_daemons(now);
     }
 
-    fn take_in_server(&mut self, name: &str, state: InstanceState) {
+    fn apply_server_state(&mut self, name: &str, state: InstanceState) {
         let server = NameHash::of(name);
         match state {
             InstanceState::Live => {
@@ -231,7 +231,7 @@
 
     /// Begins a graceful stop. The next reports announce it, so that other daemons take over the duties.
     pub(super) fn begin_stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
         self.replan();
         for schedule in self.peers.values_mut() {
             schedule.make_due();
--- a/crates/reedsail_daemon/src/control/grant.rs
+++ b/crates/reedsail_daemon/src/control/grant.rs
@@ -15,9 +15,9 @@
 use super::messages::ExchangeDone;
 
 /// The interval between reports while far fewer slots are granted than are due, in milliseconds.
-const SHORT_INTERVAL_MS: u64 = 250;
+const SLOT_SHORTAGE_INTERVAL_MS: u64 = 250;
 /// The fraction of the due slots below which a grant counts as short.
-const SHORT_FRACTION: f64 = 0.85;
+const SLOT_SHORTAGE_FRACTION: f64 = 0.85;
 /// The duration of a lease in report intervals. A lease outlives one lost report.
 const LEASE_INTERVALS: u64 = 3;
 
@@ -27,7 +27,7 @@
         self.note_pause(now);
         self.exchanges += 1;
         self.shared.events.observe(report.clock);
-        self.note_peer(report, now);
+        self.record_peer_report(report, now);
         let interval_ms = self.pacer.interval_ms(self.exchange_pairs(now));
         let lease_ms = self.lease_ms_at(interval_ms);
         let mut services = Vec::new();
@@ -35,21 +35,21 @@
             let allocator = self.allocator_mut(*service, now);
             allocator.set_lease_ms(lease_ms);
             // A leaving daemon keeps its leases until its last request has finished.
-            if report.leaving && row.demands.is_empty() {
+            if report.is_leaving && row.demands.is_empty() {
                 allocator.remove_member(report.sender);
                 continue;
             }
             services.push((*service, allocator.on_report(report.sender, row, now)));
         }
-        let mut leaving: Vec<NameHash> = self.servers_leaving.iter().copied().collect();
-        leaving.sort();
+        let mut servers_leaving: Vec<NameHash> = self.servers_leaving.iter().copied().collect();
+        servers_leaving.sort();
         Grant {
             incarnation: self.shared.incarnation,
             clock: self.shared.events.clock(),
             next_report_ms: interval_ms as u32,
             lease_ms: lease_ms as u32,
             services,
-            leaving,
+            servers_leaving,
         }
     }
 
@@ -64,9 +64,9 @@
         (interval_ms * LEASE_INTERVALS).max(self.shared.settings.control.lease_ms)
     }
 
-    fn note_peer(&mut self, report: &Report, now: TimeMs) {
+    fn record_peer_report(&mut self, report: &Report, now: TimeMs) {
         let sender = report.sender;
-        if report.leaving {
+        if report.is_leaving {
             if self.membership.presence(sender, now) != Presence::Leaving {
                 let name = self.membership.name(sender).unwrap_or("unknown");
                 self.shared.events.emit(EventKind::PeerLeaving, &[("peer", name)]);
@@ -92,12 +92,12 @@
         self.shared.events.emit(EventKind::PeerAlive, &[("peer", name)]);
     }
 
-    pub(super) fn conclude_exchange(&mut self, done: ExchangeDone) {
+    pub(super) fn finish_exchange(&mut self, done: ExchangeDone) {
         let now = self.shared.clock.now();
         let grant = match done.outcome {
             Ok(grant) => grant,
             Err(error) => {
-                self.note_no_answer(done.peer, &error.to_string(), now);
+                self.record_unanswered(done.peer, &error.to_string(), now);
                 return;
             }
         };
@@ -106,7 +106,7 @@
             self.emit_alive(done.peer);
         }
         self.shared.events.observe(grant.clock);
-        self.receive_departures(&grant.leaving, now);
+        self.receive_departures(&grant.servers_leaving, now);
         let own_interval_ms = self.pacer.interval_ms(self.exchange_pairs(now));
         let mut interval_ms = own_interval_ms.max(u64::from(grant.next_report_ms));
         let lease_deadline = done.sent_at.plus_ms(u64::from(grant.lease_ms));
@@ -116,7 +116,7 @@
                 .get(service)
                 .is_some_and(|assignment| assignment.peer == done.peer);
             if is_own_assignment {
-                self.take_leases(*service, row, grant.incarnation, lease_deadline);
+                self.apply_leases(*service, row, grant.incarnation, lease_deadline);
             } else {
                 self.borrow_slots(*service, done.peer, row, grant.incarnation, lease_deadline);
             }
@@ -128,12 +128,12 @@
             // Nothing is queued, runs or was charged, so reports only need to keep the leases from expiring.
             interval_ms = interval_ms.max(u64::from(grant.lease_ms) * 2 / 5);
         } else if self.is_short_of_slots(&grant) {
-            interval_ms = interval_ms.min(SHORT_INTERVAL_MS);
+            interval_ms = interval_ms.min(SLOT_SHORTAGE_INTERVAL_MS);
         }
         // Leases are renewed before they expire, even if that exceeds the byte budget.
         interval_ms = interval_ms.min(u64::from(grant.lease_ms) / 2);
         let schedule = self.peers.entry(done.peer).or_default();
-        schedule.in_flight = false;
+        schedule.is_in_flight = false;
         schedule.next_report_at = done.sent_at.plus_ms(interval_ms);
         if was_suspect {
             // The peer may become the allocator again. It must know which slots are held before it leases
@@ -153,11 +153,11 @@
             } else {
                 f64::from(granted) + lacking
             };
-            f64::from(granted) < due * SHORT_FRACTION - 1.0
+            f64::from(granted) < due * SLOT_SHORTAGE_FRACTION - 1.0
         })
     }
 
-    fn take_leases(
+    fn apply_leases(
         &mut self,
         service: ServiceKey,
         grant: &ServiceGrant,
@@ -203,7 +203,7 @@
         }
     }
 
-    fn note_no_answer(&mut self, peer: NameHash, error: &str, now: TimeMs) {
+    fn record_unanswered(&mut self, peer: NameHash, error: &str, now: TimeMs) {
         self.replan();
         if self.membership.suspect(peer, now) {
             let name = self.membership.name(peer).unwrap_or("unknown");
@@ -211,7 +211,7 @@
             self.shared.events.emit(EventKind::PeerSuspected, &fields);
         }
         if let Some(schedule) = self.peers.get_mut(&peer) {
-            schedule.in_flight = false;
+            schedule.is_in_flight = false;
             schedule.next_report_at = now;
         }
         for allocator in self.allocators.values_mut() {
--- a/crates/reedsail_daemon/src/control/links.rs
+++ b/crates/reedsail_daemon/src/control/links.rs
@@ -130,7 +130,9 @@
             .is_cut(&self.shared.settings.instance, &peer.instance)
         {
             self.open.borrow_mut().remove(&(peer.name, limit_ms));
-            return Err(LinkError::NoAnswer("the link is cut by fault injection".to_owned()));
+            return Err(LinkError::NoAnswer(
+                "the link is cut by fault injection".to_owned(),
+            ));
         }
         if outcome.is_err() {
             self.open.borrow_mut().remove(&(peer.name, limit_ms));
--- a/crates/reedsail_daemon/src/control/pacing.rs
+++ b/crates/reedsail_daemon/src/control/pacing.rs
@@ -13,17 +13,17 @@
     pub(super) fn exchange_pairs(&self, now: TimeMs) -> usize {
         let window_ms = self.shared.settings.control.lease_ms * 2;
         let recent = |at: TimeMs| at > TimeMs(0) && now.since_ms(at) < window_ms;
-        let reporting = self
+        let incoming = self
             .peers
             .values()
             .filter(|peer| recent(peer.reported_at))
             .count();
-        let reported = self
+        let outgoing = self
             .peers
             .iter()
             .filter(|(name, peer)| **name != self.own_name && recent(peer.sent_at))
             .count();
-        reporting + reported
+        incoming + outgoing
     }
 
     pub(super) fn pace(&mut self, now: TimeMs) {
--- a/crates/reedsail_daemon/src/control/peer_service.rs
+++ b/crates/reedsail_daemon/src/control/peer_service.rs
@@ -25,8 +25,8 @@
 }
 
 impl<P: SharePolicy> PeerHandler for PeerService<P> {
-    fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T {
-        self.shared.with_directory(use_it)
+    fn with_directory<T>(&self, operation: impl FnOnce(&Directory) -> T) -> T {
+        self.shared.with_directory(operation)
     }
 
     fn exchange(&self, report: Report) -> impl Future<Output = Grant> + 'static {
--- a/crates/reedsail_daemon/src/control/report.rs
+++ b/crates/reedsail_daemon/src/control/report.rs
@@ -38,7 +38,7 @@
     ) -> Option<NameHash> {
         let mut candidates = self.membership.alive(Some(domain), now);
         // A stopping daemon hands over its duties unless no other daemon of the domain is alive.
-        if domain == self.own_domain && (!self.stopping || candidates.is_empty()) {
+        if domain == self.own_domain && (!self.is_stopping || candidates.is_empty()) {
             candidates.push(self.own_name);
         }
         let service = self
@@ -77,7 +77,7 @@
     fn probe_suspects(&mut self, now: TimeMs) {
         for suspect in self.membership.suspects_to_probe(self.own_domain, now) {
             let schedule = self.peers.entry(suspect).or_default();
-            if !schedule.in_flight && now.since_ms(schedule.sent_at) >= PROBE_EVERY_MS {
+            if !schedule.is_in_flight && now.since_ms(schedule.sent_at) >= PROBE_EVERY_MS {
                 self.send_report(suspect, &ReportPlan::default(), now);
             }
         }
@@ -118,7 +118,7 @@
 
     fn is_due(&mut self, peer: NameHash, plan: &ReportPlan, now: TimeMs) -> bool {
         let schedule = self.peers.entry(peer).or_default();
-        if schedule.in_flight {
+        if schedule.is_in_flight {
             return false;
         }
         if schedule.next_report_at <= now {
@@ -148,7 +148,7 @@
         }
         let report = self.make_report(services, now);
         let schedule = self.peers.entry(peer).or_default();
-        schedule.in_flight = true;
+        schedule.is_in_flight = true;
         schedule.sent_at = now;
         self.exchanges += 1;
         let action = LinkAction::Exchange {
@@ -192,7 +192,7 @@
                     &[("service", &found.name), ("allocator", peer_name)],
                 );
             }
-            if self.stopping && !scheduler.is_active() {
+            if self.is_stopping && !scheduler.is_active() {
                 scheduler.release_leases();
             }
             reports.push((*service, scheduler.report(now)));
@@ -226,7 +226,7 @@
             incarnation: self.shared.incarnation,
             clock: self.shared.events.clock(),
             bundle_version: self.shared.view.load().version,
-            leaving: self.stopping,
+            is_leaving: self.is_stopping,
             services,
             suspects: self.membership.suspects(now),
             servers_leaving: self.servers_leaving.iter().copied().collect(),
--- a/crates/reedsail_daemon/src/control/report_plan.rs
+++ b/crates/reedsail_daemon/src/control/report_plan.rs
@@ -16,7 +16,7 @@
 pub(crate) struct PeerSchedule {
     pub(super) next_report_at: TimeMs,
     pub(super) sent_at: TimeMs,
-    pub(super) in_flight: bool,
+    pub(super) is_in_flight: bool,
     /// When the peer last reported here.
     pub(super) reported_at: TimeMs,
 }
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -47,11 +47,11 @@
         for record in &page.records {
             let followed = self.follower.follow(record.offset, &record.data);
             self.note_followed(&followed, record.offset);
-            let says_in_force = matches!(
+            let confirms_in_force = matches!(
                 followed,
                 Followed::InForce(_) | Followed::Unchanged(FoldVerdict::AlreadyKnown)
             );
-            if says_in_force {
+            if confirms_in_force {
                 self.in_force_seen_unix_ms = record.appended_unix_ms;
             }
         }
@@ -59,7 +59,7 @@
             self.apply_in_force();
         }
         if self.follower.next_offset() >= page.next_offset {
-            self.log_caught_up = true;
+            self.is_log_caught_up = true;
         }
         self.check_ready();
         self.follower.next_offset()
@@ -138,7 +138,7 @@
         let log_given_up = self
             .log_lost_at
             .is_some_and(|at| now.since_ms(at) >= LOG_GIVEN_UP_AFTER_MS);
-        if self.shared.view.load().version == 0 || !(self.log_caught_up || log_given_up) {
+        if self.shared.view.load().version == 0 || !(self.is_log_caught_up || log_given_up) {
             return;
         }
         let since = *self.applied_at.get_or_insert(now);
@@ -159,10 +159,10 @@
     }
 
     pub(super) fn note_log_reachable(&mut self, reachable: bool) {
-        if reachable == self.log_reachable {
+        if reachable == self.is_log_reachable {
             return;
         }
-        self.log_reachable = reachable;
+        self.is_log_reachable = reachable;
         self.log_lost_at = (!reachable).then(|| self.shared.clock.now());
         self.shared.metrics.platform_reachable.set(i64::from(reachable));
         let kind = if reachable {
@@ -174,7 +174,7 @@
     }
 
     /// Applies a peer's copy of the bundle in force.
-    pub(super) fn learn_bundle(&mut self, record: &[u8]) {
+    pub(super) fn apply_peer_bundle(&mut self, record: &[u8]) {
         match self.follower.learn(record) {
             Ok(true) => {
                 let version = self.follower.in_force().map_or(0, |accepted| accepted.version);
@@ -196,25 +196,25 @@
     pub(super) fn note_peer_version(&mut self, peer: NameHash, version: u32, now: TimeMs) {
         let own = self.follower.in_force().map_or(0, |accepted| accepted.version);
         if version <= own {
-            if self.behind_since.is_some_and(|(_, known)| known == peer) {
-                self.behind_since = None;
+            if self.newer_version_at_peer.is_some_and(|(_, known)| known == peer) {
+                self.newer_version_at_peer = None;
             }
-        } else if self.behind_since.is_none() {
-            self.behind_since = Some((now, peer));
+        } else if self.newer_version_at_peer.is_none() {
+            self.newer_version_at_peer = Some((now, peer));
         }
     }
 
     /// Fetches the bundle from a peer if the log does not deliver it, and appends checkpoints to the log
     /// before the record of the bundle ages out.
-    pub(super) fn keep_bundle(&mut self, now: TimeMs) {
+    pub(super) fn maintain_bundle(&mut self, now: TimeMs) {
         self.check_ready();
-        let nothing_known = self.follower.in_force().is_none();
-        if let Some((since, peer)) = self.behind_since
+        let has_no_bundle = self.follower.in_force().is_none();
+        if let Some((since, peer)) = self.newer_version_at_peer
             && now.since_ms(since) >= PEER_FETCH_AFTER_MS
         {
-            self.behind_since = None;
+            self.newer_version_at_peer = None;
             self.fetch_bundle_from(peer);
-        } else if (nothing_known || !self.follower.is_sure()) && self.ticks.is_multiple_of(FETCH_EVERY_TICKS)
+        } else if (has_no_bundle || !self.follower.is_sure()) && self.ticks.is_multiple_of(FETCH_EVERY_TICKS)
         {
             let alive = self.membership.alive(None, now);
             let turn = (self.ticks / FETCH_EVERY_TICKS) as usize;
@@ -239,13 +239,14 @@
     /// Appends a checkpoint if one is due. The first daemon in rank appends it, and each further daemon waits
     /// a quarter of the interval longer.
     fn checkpoint_if_due(&mut self, now: TimeMs) {
-        if !self.log_reachable || !self.log_caught_up || self.checkpoint_under_way || self.stopping {
+        if !self.is_log_reachable || !self.is_log_caught_up || self.is_checkpoint_pending || self.is_stopping
+        {
             return;
         }
         let every_ms = self.shared.settings.control.checkpoint_every_ms;
         if self.follower.is_sure() {
-            self.unsure_since = None;
-        } else if now.since_ms(*self.unsure_since.get_or_insert(now)) < every_ms {
+            self.log_gap_since = None;
+        } else if now.since_ms(*self.log_gap_since.get_or_insert(now)) < every_ms {
             // A daemon that missed no records should append the checkpoint. If none does within the interval,
             // this daemon appends the version that it knows.
             return;
@@ -253,20 +254,20 @@
         let mut daemons = self.membership.alive(None, now);
         daemons.push(self.own_name);
         let ranked = rank_by_rendezvous(CHECKPOINT_ROLE, &daemons);
-        let place = ranked.iter().position(|name| *name == self.own_name).unwrap_or(0) as u64;
+        let rank = ranked.iter().position(|name| *name == self.own_name).unwrap_or(0) as u64;
         let age_ms = Clock::unix_ms().saturating_sub(self.in_force_seen_unix_ms);
-        if age_ms < every_ms + every_ms / 4 * place {
+        if age_ms < every_ms + every_ms / 4 * rank {
             return;
         }
         // Packing a large bundle takes milliseconds, so it is done last.
         if let Some(record) = self.follower.checkpoint() {
-            self.checkpoint_under_way = true;
+            self.is_checkpoint_pending = true;
             let _ = self.actions.send(LinkAction::AppendCheckpoint(record.to_bytes()));
         }
     }
 
-    pub(super) fn conclude_checkpoint(&mut self, appended: bool) {
-        self.checkpoint_under_way = false;
+    pub(super) fn finish_checkpoint(&mut self, appended: bool) {
+        self.is_checkpoint_pending = false;
         if appended {
             self.shared.events.emit(EventKind::CheckpointAppended, &[]);
         }
--- a/crates/reedsail_daemon/src/main.rs
+++ b/crates/reedsail_daemon/src/main.rs
@@ -11,9 +11,9 @@
 use tokio::signal::unix::signal;
 
 /// Exit code after a stop that aborted open requests.
-const EXIT_CUT: u8 = 3;
+const EXIT_REQUESTS_ABORTED: u8 = 3;
 /// Exit code if the daemon cannot start.
-const EXIT_UNUSABLE: u8 = 2;
+const EXIT_START_FAILED: u8 = 2;
 
 mod flags {
     #![allow(
@@ -41,10 +41,10 @@
     let flags = flags::Reedsaild::from_env_or_exit();
     match run(&flags.config, flags.check) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(EXIT_CUT),
+        Ok(false) => ExitCode::from(EXIT_REQUESTS_ABORTED),
         Err(error) => {
             eprintln!("reedsaild: {error:#}");
-            ExitCode::from(EXIT_UNUSABLE)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
--- a/crates/reedsail_daemon/src/metrics.rs
+++ b/crates/reedsail_daemon/src/metrics.rs
@@ -151,8 +151,8 @@
             let (opts, labels) = entry(name);
             register(&registry, IntGaugeVec::new(opts, labels))
         };
-        let plain = |name: &str| register(&registry, IntGauge::with_opts(entry(name).0));
-        let real = |name: &str| {
+        let unlabelled_gauge = |name: &str| register(&registry, IntGauge::with_opts(entry(name).0));
+        let float_gauge = |name: &str| {
             let (opts, labels) = entry(name);
             register(&registry, GaugeVec::new(opts, labels))
         };
@@ -171,16 +171,16 @@
             control_bytes: gauge("reedsail_control_bytes_total"),
             queued: gauge("reedsail_queued_requests"),
             slots: gauge("reedsail_slots"),
-            workspace_cost: real("reedsail_workspace_cost"),
-            bundle_version: plain("reedsail_bundle_version"),
-            open_requests: plain("reedsail_open_requests"),
-            members: plain("reedsail_members"),
+            workspace_cost: float_gauge("reedsail_workspace_cost"),
+            bundle_version: unlabelled_gauge("reedsail_bundle_version"),
+            open_requests: unlabelled_gauge("reedsail_open_requests"),
+            members: unlabelled_gauge("reedsail_members"),
             control_cpu: register(
                 &registry,
                 Gauge::with_opts(entry("reedsail_control_cpu_seconds_total").0),
             ),
-            resident_bytes: plain("reedsail_resident_memory_bytes"),
-            platform_reachable: plain("reedsail_platform_reachable"),
+            resident_bytes: unlabelled_gauge("reedsail_resident_memory_bytes"),
+            platform_reachable: unlabelled_gauge("reedsail_platform_reachable"),
             registry,
         }
     }
--- a/crates/reedsail_daemon/src/running.rs
+++ b/crates/reedsail_daemon/src/running.rs
@@ -60,13 +60,13 @@
 pub struct RunningDaemon {
     instance: String,
     addresses: DaemonAddresses,
-    probe: Probe,
+    policy_handle: PolicyHandle,
     workers: Workers,
 }
 
 /// The handle of each policy.
 #[derive(Debug)]
-enum Probe {
+enum PolicyHandle {
     Fifo(Handle<FifoPolicy>),
     Split(Handle<SplitPolicy>),
     Fleet(Handle<FleetPolicy>),
@@ -88,11 +88,11 @@
 }
 
 macro_rules! with_handle {
-    ($probe:expr, $handle:ident => $body:expr) => {
-        match $probe {
-            Probe::Fifo($handle) => $body,
-            Probe::Split($handle) => $body,
-            Probe::Fleet($handle) => $body,
+    ($policy_handle:expr, $handle:ident => $body:expr) => {
+        match $policy_handle {
+            PolicyHandle::Fifo($handle) => $body,
+            PolicyHandle::Split($handle) => $body,
+            PolicyHandle::Fleet($handle) => $body,
         }
     };
 }
@@ -104,25 +104,25 @@
     /// Returns an error if an address cannot be listened on or a thread cannot be started, and names it.
     pub async fn start(settings: Settings, options: DaemonOptions) -> anyhow::Result<Self> {
         let instance = settings.instance.clone();
-        let (probe, addresses, workers) = match settings.policy {
+        let (policy_handle, addresses, workers) = match settings.policy {
             PolicyChoice::Fifo => {
                 let (handle, addresses, workers) = launch(settings, FifoPolicy, options).await?;
-                (Probe::Fifo(handle), addresses, workers)
+                (PolicyHandle::Fifo(handle), addresses, workers)
             }
             PolicyChoice::Split { daemons } => {
                 let policy = SplitPolicy { instances: daemons };
                 let (handle, addresses, workers) = launch(settings, policy, options).await?;
-                (Probe::Split(handle), addresses, workers)
+                (PolicyHandle::Split(handle), addresses, workers)
             }
             PolicyChoice::Fleet => {
                 let (handle, addresses, workers) = launch(settings, FleetPolicy, options).await?;
-                (Probe::Fleet(handle), addresses, workers)
+                (PolicyHandle::Fleet(handle), addresses, workers)
             }
         };
         Ok(Self {
             instance,
             addresses,
-            probe,
+            policy_handle,
             workers,
         })
     }
@@ -139,28 +139,28 @@
 
     /// Returns the stage.
     pub fn stage(&self) -> Stage {
-        with_handle!(&self.probe, handle => handle.shared.stage.get())
+        with_handle!(&self.policy_handle, handle => handle.shared.stage.get())
     }
 
     /// Returns the version of the bundle in force, or zero if there is none.
     pub fn bundle_version(&self) -> u32 {
-        with_handle!(&self.probe, handle => handle.shared.view.load().version)
+        with_handle!(&self.policy_handle, handle => handle.shared.view.load().version)
     }
 
     /// Returns the number of requests of a workspace that are queued for a service.
     pub fn queued(&self, service: &str, workspace: &str) -> u32 {
-        with_handle!(&self.probe, handle => handle.shared.queued(service, workspace))
+        with_handle!(&self.policy_handle, handle => handle.shared.queued(service, workspace))
     }
 
     /// Returns the numbers of slots leased and in use for a service.
     pub fn slot_counts(&self, service: &str) -> (u32, u32) {
-        with_handle!(&self.probe, handle => handle.shared.slot_counts(service))
+        with_handle!(&self.policy_handle, handle => handle.shared.slot_counts(service))
     }
 
     /// Returns the control bytes sent and received so far: those between daemons, and the total.
     /// Bytes of requests and answers are not counted.
     pub fn control_bytes(&self) -> (u64, u64) {
-        with_handle!(&self.probe, handle => {
+        with_handle!(&self.policy_handle, handle => {
             let bytes = &handle.shared.bytes;
             let peers = bytes.peer_calls.total_bytes() + bytes.peer_served.total_bytes();
             (peers, peers + bytes.platform.total_bytes() + bytes.claims.total_bytes())
@@ -169,19 +169,19 @@
 
     /// Returns the events in the timeline.
     pub fn events(&self) -> Vec<Event> {
-        with_handle!(&self.probe, handle => handle.shared.events.kept())
+        with_handle!(&self.policy_handle, handle => handle.shared.events.kept())
     }
 
     /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
-        with_handle!(&self.probe, handle => {
+        with_handle!(&self.policy_handle, handle => {
             handle.shared.open_requests.load(std::sync::atomic::Ordering::Acquire)
         })
     }
 
     /// Stops gracefully after open requests have finished. Returns whether all of them finished in time.
     pub async fn close(self) -> bool {
-        let finished = with_handle!(&self.probe, handle => stop_as_planned(handle).await);
+        let finished = with_handle!(&self.policy_handle, handle => stop_gracefully(handle).await);
         self.workers.close();
         finished
     }
@@ -243,7 +243,7 @@
 }
 
 /// Hands over allocator duties, waits until the load balancer has noticed, then waits for open requests.
-async fn stop_as_planned<P: SharePolicy>(handle: &Handle<P>) -> bool {
+async fn stop_gracefully<P: SharePolicy>(handle: &Handle<P>) -> bool {
     let shared = &handle.shared;
     let limits = &shared.settings.limits;
     shared.stage.advance(Stage::Draining);
--- a/crates/reedsail_daemon/src/service_cell.rs
+++ b/crates/reedsail_daemon/src/service_cell.rs
@@ -48,7 +48,7 @@
     }
 
     /// Queues a request. The receiver of its waker gets the slot.
-    pub(crate) fn submit(self: &Arc<Self>, waiting: Waiting<Waker<P>>) -> Result<QueuePlace<P>, ErrorKind> {
+    pub(crate) fn submit(self: &Arc<Self>, waiting: Waiting<Waker<P>>) -> Result<QueueEntry<P>, ErrorKind> {
         let workspace = waiting.workspace;
         let ticket = {
             let mut scheduler = self.lock();
@@ -58,7 +58,7 @@
         };
         self.dispatch();
         self.lock().preempt_for(workspace, self.clock.now());
-        Ok(QueuePlace {
+        Ok(QueueEntry {
             cell: Arc::clone(self),
             ticket: Some(ticket),
         })
@@ -112,19 +112,19 @@
 
 /// A request's entry in the queue. Dropping it withdraws the request.
 #[derive(Debug)]
-pub(crate) struct QueuePlace<P: SharePolicy> {
+pub(crate) struct QueueEntry<P: SharePolicy> {
     cell: Arc<ServiceCell<P>>,
     ticket: Option<Ticket>,
 }
 
-impl<P: SharePolicy> QueuePlace<P> {
+impl<P: SharePolicy> QueueEntry<P> {
     /// Releases the entry of a request that was dispatched or refused.
     pub(crate) fn close(mut self) {
         self.ticket = None;
     }
 }
 
-impl<P: SharePolicy> Drop for QueuePlace<P> {
+impl<P: SharePolicy> Drop for QueueEntry<P> {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket {
             self.cell.lock().withdraw(ticket);
--- a/crates/reedsail_daemon/src/settings_reader.rs
+++ b/crates/reedsail_daemon/src/settings_reader.rs
@@ -21,7 +21,7 @@
 /// The maximum number of traffic threads.
 const TRAFFIC_THREADS_MAX: usize = 256;
 /// The longest duration that a setting accepts, in milliseconds: one day.
-const SPAN_MAX_MS: u64 = 86_400_000;
+const DURATION_MAX_MS: u64 = 86_400_000;
 
 impl Settings {
     /// Reads and checks settings.
@@ -117,7 +117,9 @@
             continue;
         };
         if keys.iter().any(|known| known.name == name && known.role == role) {
-            value.fault(format!("`{name}` already has a key with this role; remove one of them"));
+            value.fault(format!(
+                "`{name}` already has a key with this role; remove one of them"
+            ));
         }
         keys.push(TrustedKey {
             name,
@@ -174,26 +176,36 @@
 
 fn read_limits(value: &Value<'_>) -> Option<LimitSettings> {
     let mut mapping = value.mapping()?;
-    let fallback = LimitSettings::default();
+    let defaults = LimitSettings::default();
     let map = &mut mapping;
     let header = number_or(
         map,
         "header_bytes_max",
         8_192..=1 << 20,
-        fallback.header_bytes_max,
+        defaults.header_bytes_max,
     );
-    let body = number_or(map, "body_bytes_max", 1..=1 << 30, fallback.body_bytes_max);
-    let answer = number_or(map, "answer_bytes_max", 1..=1 << 30, fallback.answer_bytes_max);
+    let body = number_or(map, "body_bytes_max", 1..=1 << 30, defaults.body_bytes_max);
+    let answer = number_or(map, "answer_bytes_max", 1..=1 << 30, defaults.answer_bytes_max);
     let deadline = number_or(
         map,
         "deadline_default_ms",
-        1..=SPAN_MAX_MS,
-        fallback.deadline_default_ms,
+        1..=DURATION_MAX_MS,
+        defaults.deadline_default_ms,
     );
-    let deadline_max = number_or(map, "deadline_max_ms", 1..=SPAN_MAX_MS, fallback.deadline_max_ms);
-    let stall = number_or(map, "stall_max_ms", 1..=SPAN_MAX_MS, fallback.stall_max_ms);
-    let notice = number_or(map, "stop_notice_ms", 0..=SPAN_MAX_MS, fallback.stop_notice_ms);
-    let stop = number_or(map, "stop_max_ms", 0..=SPAN_MAX_MS, fallback.stop_max_ms);
+    let deadline_max = number_or(
+        map,
+        "deadline_max_ms",
+        1..=DURATION_MAX_MS,
+        defaults.deadline_max_ms,
+    );
+    let stall = number_or(map, "stall_max_ms", 1..=DURATION_MAX_MS, defaults.stall_max_ms);
+    let notice = number_or(
+        map,
+        "stop_notice_ms",
+        0..=DURATION_MAX_MS,
+        defaults.stop_notice_ms,
+    );
+    let stop = number_or(map, "stop_max_ms", 0..=DURATION_MAX_MS, defaults.stop_max_ms);
     mapping.close();
     Some(LimitSettings {
         header_bytes_max: header?,
@@ -209,23 +221,28 @@
 
 fn read_control(value: &Value<'_>) -> Option<ControlSettings> {
     let mut mapping = value.mapping()?;
-    let fallback = ControlSettings::default();
+    let defaults = ControlSettings::default();
     let map = &mut mapping;
     let budget = number_or(
         map,
         "budget_bytes_per_s",
         100..=1 << 30,
-        fallback.budget_bytes_per_s,
+        defaults.budget_bytes_per_s,
+    );
+    let lease = number_or(map, "lease_ms", 500..=DURATION_MAX_MS, defaults.lease_ms);
+    let horizon = number_or(map, "horizon_ms", 100..=DURATION_MAX_MS, defaults.horizon_ms);
+    let clamp = number_or(
+        map,
+        "rejoin_clamp_ms",
+        0..=DURATION_MAX_MS,
+        defaults.rejoin_clamp_ms,
     );
-    let lease = number_or(map, "lease_ms", 500..=SPAN_MAX_MS, fallback.lease_ms);
-    let horizon = number_or(map, "horizon_ms", 100..=SPAN_MAX_MS, fallback.horizon_ms);
-    let clamp = number_or(map, "rejoin_clamp_ms", 0..=SPAN_MAX_MS, fallback.rejoin_clamp_ms);
-    let call = number_or(map, "call_limit_ms", 10..=60_000, fallback.call_limit_ms);
+    let call = number_or(map, "call_limit_ms", 10..=60_000, defaults.call_limit_ms);
     let checkpoint = number_or(
         map,
         "checkpoint_every_ms",
-        500..=SPAN_MAX_MS,
-        fallback.checkpoint_every_ms,
+        500..=DURATION_MAX_MS,
+        defaults.checkpoint_every_ms,
     );
     mapping.close();
     Some(ControlSettings {
@@ -240,19 +257,19 @@
 
 fn read_claims(value: &Value<'_>) -> Option<ClaimSettings> {
     let mut mapping = value.mapping()?;
-    let fallback = ClaimSettings::default();
-    let shards = number_or(&mut mapping, "shards", 1..=1_024, fallback.shards);
+    let defaults = ClaimSettings::default();
+    let shards = number_or(&mut mapping, "shards", 1..=1_024, defaults.shards);
     let window = number_or(
         &mut mapping,
         "batch_window_ms",
         1..=10_000,
-        fallback.batch_window_ms,
+        defaults.batch_window_ms,
     );
     let retention = number_or(
         &mut mapping,
         "retention_ms",
-        1_000..=SPAN_MAX_MS,
-        fallback.retention_ms,
+        1_000..=DURATION_MAX_MS,
+        defaults.retention_ms,
     );
     mapping.close();
     Some(ClaimSettings {
@@ -264,11 +281,11 @@
 
 fn read_timeline(value: &Value<'_>) -> Option<TimelineSettings> {
     let mut mapping = value.mapping()?;
-    let fallback = TimelineSettings::default();
-    let kept = number_or(&mut mapping, "kept_max", 0..=10_000_000, fallback.kept_max);
+    let defaults = TimelineSettings::default();
+    let kept = number_or(&mut mapping, "kept_max", 0..=10_000_000, defaults.kept_max);
     let requests = match mapping.optional("requests") {
         Some(value) => value.flag(),
-        None => Some(fallback.requests),
+        None => Some(defaults.requests),
     };
     mapping.close();
     Some(TimelineSettings {
--- a/crates/reedsail_daemon/src/shared.rs
+++ b/crates/reedsail_daemon/src/shared.rs
@@ -97,13 +97,13 @@
         }
     }
 
-    pub(crate) fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T {
-        use_it(&self.directory.load())
+    pub(crate) fn with_directory<T>(&self, operation: impl FnOnce(&Directory) -> T) -> T {
+        operation(&self.directory.load())
     }
 
     /// Takes one request from a workspace's rate limit. If the limit is reached, returns the delay until the
     /// next request in milliseconds as the error.
-    pub(crate) fn take_rate(&self, workspace: WorkspaceKey, per_s: f64) -> Result<(), u64> {
+    pub(crate) fn take_rate_token(&self, workspace: WorkspaceKey, per_s: f64) -> Result<(), u64> {
         let now = self.clock.now();
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
         let limit = rates
--- a/crates/reedsail_daemon/src/traffic/backend.rs
+++ b/crates/reedsail_daemon/src/traffic/backend.rs
@@ -39,7 +39,7 @@
 const ATTEMPTS_MAX: usize = 32;
 
 /// The head of an answer, with what is needed to read its body.
-pub(crate) struct Answering {
+pub(crate) struct StartedAnswer {
     pub(crate) sent: Sent,
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: HttpConnection,
@@ -49,7 +49,7 @@
 
 /// The outcome of one attempt.
 enum AttemptResult {
-    Answered(Box<Answering>),
+    Answered(Box<StartedAnswer>),
     /// No byte was written, so any call may be retried on another server.
     NotSent(Unsent),
     /// Bytes may have been written, so only a call that may be repeated is retried on another server.
@@ -57,14 +57,14 @@
 }
 
 /// Whether any attempt of a request may have reached a server, with the proof.
-pub(crate) enum AttemptsSoFar {
+pub(crate) enum SendState {
     /// No attempt has written a byte.
     Unsent(Unsent),
     /// An attempt may have written bytes.
     Sent(Sent),
 }
 
-impl AttemptsSoFar {
+impl SendState {
     fn fail(self, unsent_kind: ErrorKind, sent_kind: ErrorKind) -> Failure {
         match self {
             Self::Unsent(unsent) => unsent.refuse(unsent_kind),
@@ -81,26 +81,26 @@
     pool: &Pool,
     call: &Call<P>,
     slot: &mut Slot<P>,
-    mut so_far: AttemptsSoFar,
+    mut send_state: SendState,
     resume_from: u64,
     mut tried: Vec<ServerKey>,
-) -> Result<Answering, Failure> {
+) -> Result<StartedAnswer, Failure> {
     let mut last_kind = ErrorKind::NoBackend;
     let mut sent_attempts = 0;
     for _ in 0..ATTEMPTS_MAX {
         let Some(server) = slot.server() else { break };
         // If bytes were sent in an earlier attempt, a later attempt that sent none does not change that.
-        let was_sent = matches!(so_far, AttemptsSoFar::Sent(_));
+        let was_sent = matches!(send_state, SendState::Sent(_));
         match attempt_once(shared, pool, call, server, resume_from).await {
-            AttemptResult::Answered(answering) => return Ok(*answering),
+            AttemptResult::Answered(started_answer) => return Ok(*started_answer),
             AttemptResult::NotSent(unsent) => {
                 if !was_sent {
-                    so_far = AttemptsSoFar::Unsent(unsent);
+                    send_state = SendState::Unsent(unsent);
                 }
                 note_failure(shared, call, server);
             }
             AttemptResult::Failed(sent, kind) => {
-                so_far = AttemptsSoFar::Sent(sent);
+                send_state = SendState::Sent(sent);
                 last_kind = kind;
                 sent_attempts += 1;
                 note_failure(shared, call, server);
@@ -113,13 +113,13 @@
         if !move_slot(shared, call, slot, &tried).await {
             break;
         }
-        let cause = match so_far {
-            AttemptsSoFar::Unsent(_) => "not_sent",
-            AttemptsSoFar::Sent(_) => last_kind.name(),
+        let cause = match send_state {
+            SendState::Unsent(_) => "not_sent",
+            SendState::Sent(_) => last_kind.name(),
         };
         note_retry(shared, call, cause);
     }
-    Err(so_far.fail(ErrorKind::NoBackend, last_kind))
+    Err(send_state.fail(ErrorKind::NoBackend, last_kind))
 }
 
 /// Returns whether a call of which bytes were sent may be sent again. Resuming a stream does not use the
@@ -145,12 +145,12 @@
 }
 
 fn note_failure<P: SharePolicy>(shared: &Shared<P>, call: &Call<P>, server: ServerKey) {
-    let rests = call
+    let is_now_resting = call
         .service
         .cell
         .lock()
         .record_failure(server, shared.clock.now());
-    if rests {
+    if is_now_resting {
         let name = call
             .service
             .servers
@@ -232,7 +232,7 @@
     if echoed.is_some_and(|echoed| echoed.as_bytes() != call.id.as_bytes()) {
         return AttemptResult::Failed(sent, ErrorKind::AnswerMismatched);
     }
-    AttemptResult::Answered(Box::new(Answering {
+    AttemptResult::Answered(Box::new(StartedAnswer {
         sent,
         response,
         connection,
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -31,7 +31,7 @@
 /// The path of model services.
 const CHAT_PATH: &str = "/v1/chat/completions";
 /// How far the timestamp of a key may be ahead of this daemon's clock.
-const KEY_AHEAD_MAX_MS: u64 = 60_000;
+const KEY_CLOCK_SKEW_MAX_MS: u64 = 60_000;
 
 /// The reason why a request is refused before it is queued, and the delay until a retry, if known.
 pub(crate) type Refusal = (ErrorKind, Option<u64>);
@@ -68,31 +68,32 @@
     let (parts, body) = request.into_parts();
     check_header_size(&parts.headers, shared.settings.limits.header_bytes_max)?;
     let digest = headers::key_digest(&parts.headers).ok_or((ErrorKind::UnknownKey, None))?;
-    let (workspace, described) = view.identify(&digest).ok_or((ErrorKind::UnknownKey, None))?;
+    let (workspace, workspace_view) = view.identify(&digest).ok_or((ErrorKind::UnknownKey, None))?;
     let target = find_target(&view, &parts)?;
-    let (class, deadline_ms) = read_terms(shared, &parts.headers, described.workspace.default_class)?;
-    if let Some(per_s) = described.workspace.limits.requests_per_s {
+    let (class, deadline_ms) =
+        read_class_and_deadline(shared, &parts.headers, workspace_view.workspace.default_class)?;
+    if let Some(per_s) = workspace_view.workspace.limits.requests_per_s {
         shared
-            .take_rate(workspace, per_s)
+            .take_rate_token(workspace, per_s)
             .map_err(|after_ms| (ErrorKind::RateLimited, Some(after_ms)))?;
     }
     let body = read_body(body, shared.settings.limits.body_bytes_max)
         .await
         .map_err(|kind| (kind, None))?;
-    let chosen = choose_service(&view, target, &body)?;
+    let selected = select_service(&view, target, &body)?;
     let path = parts.uri.path();
-    let (repeat, key_rule) = chosen.service.service.rule_for(parts.method.as_str(), path);
+    let (repeat, key_rule) = selected.service.service.rule_for(parts.method.as_str(), path);
     let key = match repeat {
         Repeat::Never => read_key(&parts.headers, key_rule, shared.settings.claims.retention_ms)?,
         Repeat::Allowed => None,
     };
     let now = shared.clock.now();
-    let mut passed_on = HeaderMap::new();
-    headers::pass_on(&parts.headers, &mut passed_on);
+    let mut forwarded = HeaderMap::new();
+    headers::forward_headers(&parts.headers, &mut forwarded);
     Ok(Call {
         id,
         workspace,
-        workspace_name: described.name.clone(),
+        workspace_name: workspace_view.name.clone(),
         class,
         admitted_at: now,
         deadline: now.plus_ms(deadline_ms),
@@ -103,16 +104,16 @@
             .path_and_query()
             .map_or_else(|| path.to_owned(), ToString::to_string),
         method: parts.method,
-        headers: passed_on,
+        headers: forwarded,
         body,
-        prefix: chosen.prefix,
-        wants_stream: chosen.wants_stream,
-        service: chosen.service,
+        prefix: selected.prefix,
+        wants_stream: selected.wants_stream,
+        service: selected.service,
     })
 }
 
 /// Reads the requested class and the requested deadline in milliseconds.
-fn read_terms<P: SharePolicy>(
+fn read_class_and_deadline<P: SharePolicy>(
     shared: &Shared<P>,
     headers: &HeaderMap,
     default_class: Class,
@@ -133,7 +134,7 @@
 }
 
 /// The service of a call, with the properties read from its body.
-struct Chosen<P: SharePolicy> {
+struct SelectedService<P: SharePolicy> {
     service: Arc<ServiceView<P>>,
     prefix: Option<u64>,
     wants_stream: bool,
@@ -151,13 +152,13 @@
     service.map(Target::Plain).ok_or((ErrorKind::UnknownRoute, None))
 }
 
-fn choose_service<P: SharePolicy>(
+fn select_service<P: SharePolicy>(
     view: &View<P>,
     target: Target<P>,
     body: &[u8],
-) -> Result<Chosen<P>, Refusal> {
+) -> Result<SelectedService<P>, Refusal> {
     match target {
-        Target::Plain(service) => Ok(Chosen {
+        Target::Plain(service) => Ok(SelectedService {
             service,
             prefix: None,
             wants_stream: false,
@@ -166,7 +167,7 @@
             let head: ChatHead<'_> =
                 serde_json::from_slice(body).map_err(|_invalid| (ErrorKind::BadJson, None))?;
             let found = view.service_of_model(&head.model);
-            Ok(Chosen {
+            Ok(SelectedService {
                 service: Arc::clone(found.ok_or((ErrorKind::UnknownModel, None))?),
                 prefix: head.prefix(),
                 wants_stream: head.stream,
@@ -184,8 +185,8 @@
     }
 }
 
-fn check_header_size(headers: &HeaderMap, most_bytes: usize) -> Result<(), Refusal> {
-    if header_bytes(headers) > most_bytes {
+fn check_header_size(headers: &HeaderMap, bytes_max: usize) -> Result<(), Refusal> {
+    if header_bytes(headers) > bytes_max {
         return Err((ErrorKind::HeaderTooLarge, None));
     }
     Ok(())
@@ -206,7 +207,7 @@
     };
     let key = ClaimKey(uuid.as_u128());
     let now_ms = Clock::unix_ms();
-    if key.created_at_unix_ms() > now_ms + KEY_AHEAD_MAX_MS {
+    if key.created_at_unix_ms() > now_ms + KEY_CLOCK_SKEW_MAX_MS {
         return Err((ErrorKind::KeyFromFuture, None));
     }
     if key.created_at_unix_ms() + retention_ms < now_ms {
--- a/crates/reedsail_daemon/src/traffic/chat.rs
+++ b/crates/reedsail_daemon/src/traffic/chat.rs
@@ -61,7 +61,7 @@
 }
 
 /// Returns the number of tokens that a complete answer reports.
-pub(crate) fn whole_answer_tokens(body: &[u8]) -> Option<u64> {
+pub(crate) fn reported_tokens(body: &[u8]) -> Option<u64> {
     let chunk: ChatChunk<'_> = serde_json::from_slice(body).ok()?;
     chunk.usage.map(|usage| usage.completion_tokens)
 }
--- a/crates/reedsail_daemon/src/traffic/claim.rs
+++ b/crates/reedsail_daemon/src/traffic/claim.rs
@@ -41,7 +41,7 @@
         return Ok((unsent, None));
     };
     let nonce = Nonce(rand::random());
-    let verdict = ask(shared, ClaimRequest { key, nonce }).await;
+    let verdict = request_claim(shared, ClaimRequest { key, nonce }).await;
     let name = verdict_name(verdict);
     shared.metrics.claims.with_label_values(&[name]).inc();
     if shared.settings.timeline.requests {
@@ -61,7 +61,7 @@
     }
 }
 
-async fn ask<P: SharePolicy>(shared: &Shared<P>, request: ClaimRequest) -> ClaimVerdict {
+async fn request_claim<P: SharePolicy>(shared: &Shared<P>, request: ClaimRequest) -> ClaimVerdict {
     let (reply, answer) = oneshot::channel();
     if shared
         .claim_jobs
--- a/crates/reedsail_daemon/src/traffic/headers.rs
+++ b/crates/reedsail_daemon/src/traffic/headers.rs
@@ -64,8 +64,8 @@
         return Ok(default_ms);
     };
     let text = value.to_str().map_err(|_| ErrorKind::BadHeader)?;
-    let asked_ms: u64 = text.parse().map_err(|_| ErrorKind::BadHeader)?;
-    Ok(asked_ms.min(max_ms))
+    let requested_ms: u64 = text.parse().map_err(|_| ErrorKind::BadHeader)?;
+    Ok(requested_ms.min(max_ms))
 }
 
 /// Returns the idempotency key as the caller sent it.
@@ -74,14 +74,14 @@
 }
 
 /// Copies the headers that are forwarded.
-pub(crate) fn pass_on(from: &HeaderMap, to: &mut HeaderMap) {
+pub(crate) fn forward_headers(from: &HeaderMap, to: &mut HeaderMap) {
     for (name, value) in from {
-        if is_passed_on(name) {
+        if is_forwarded(name) {
             to.append(name.clone(), value.clone());
         }
     }
 }
 
-fn is_passed_on(name: &HeaderName) -> bool {
+fn is_forwarded(name: &HeaderName) -> bool {
     !HOP_HEADERS.contains(&name.as_str()) && !OWN_HEADERS.contains(&name.as_str())
 }
--- a/crates/reedsail_daemon/src/traffic/queueing.rs
+++ b/crates/reedsail_daemon/src/traffic/queueing.rs
@@ -26,9 +26,9 @@
         preemptible: call.wants_stream,
         waker,
     };
-    let place = call.service.cell.submit(waiting)?;
+    let entry = call.service.cell.submit(waiting)?;
     let outcome = woken.await;
-    place.close();
+    entry.close();
     let waited_ms = shared.clock.now().since_ms(call.admitted_at);
     shared
         .metrics
--- a/crates/reedsail_daemon/src/traffic/relay.rs
+++ b/crates/reedsail_daemon/src/traffic/relay.rs
@@ -23,41 +23,41 @@
 use super::Pool;
 use super::answer::AnswerBody;
 use super::answer::RAN_HEADER;
-use super::backend::Answering;
+use super::backend::StartedAnswer;
 use super::call::Call;
-use super::chat::whole_answer_tokens;
+use super::chat::reported_tokens;
 use super::headers;
 use crate::shared::Shared;
 
 /// Returns whether the answer is a stream of events, which is relayed token by token.
-pub(crate) fn is_stream<P: SharePolicy>(call: &Call<P>, answering: &Answering) -> bool {
-    let content_type = answering.response.headers().get(CONTENT_TYPE);
+pub(crate) fn is_stream<P: SharePolicy>(call: &Call<P>, started_answer: &StartedAnswer) -> bool {
+    let content_type = started_answer.response.headers().get(CONTENT_TYPE);
     let is_events = content_type.is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
-    call.wants_stream && is_events && answering.response.status() == StatusCode::OK
+    call.wants_stream && is_events && started_answer.response.status() == StatusCode::OK
 }
 
 /// A complete answer and its cost.
-pub(crate) struct WholeAnswer {
+pub(crate) struct BufferedAnswer {
     pub(crate) answer: Response<AnswerBody>,
     pub(crate) cost: f64,
 }
 
 /// An incomplete answer. No part of it has reached the caller.
-pub(crate) struct BrokenAnswer {
+pub(crate) struct IncompleteAnswer {
     pub(crate) sent: Sent,
     pub(crate) kind: ErrorKind,
     pub(crate) server: ServerKey,
 }
 
 /// Reads the complete answer first, so that the caller gets either all of it or an error.
-pub(crate) async fn relay_whole<P: SharePolicy>(
+pub(crate) async fn relay_buffered<P: SharePolicy>(
     shared: &Shared<P>,
     pool: &Pool,
     call: &Call<P>,
-    answering: Answering,
-) -> Result<WholeAnswer, BrokenAnswer> {
-    let (parts, body) = answering.response.into_parts();
-    note_hints(shared, call, answering.server, &parts.headers);
+    started_answer: StartedAnswer,
+) -> Result<BufferedAnswer, IncompleteAnswer> {
+    let (parts, body) = started_answer.response.into_parts();
+    record_server_state(shared, call, started_answer.server, &parts.headers);
     let limits = &shared.settings.limits;
     let body = match read_answer(body, limits.answer_bytes_max, limits.stall_max_ms).await {
         Ok(body) => body,
@@ -65,24 +65,24 @@
             call.service
                 .cell
                 .lock()
-                .record_failure(answering.server, shared.clock.now());
-            return Err(BrokenAnswer {
-                sent: answering.sent,
+                .record_failure(started_answer.server, shared.clock.now());
+            return Err(IncompleteAnswer {
+                sent: started_answer.sent,
                 kind,
-                server: answering.server,
+                server: started_answer.server,
             });
         }
     };
     pool.give_back(
-        answering.address,
-        answering.connection,
+        started_answer.address,
+        started_answer.connection,
         &parts.headers,
         shared.clock.now(),
     );
-    let cost = whole_cost(shared, call, &body);
+    let cost = buffered_answer_cost(shared, call, &body);
     let body = Either::Left(Full::new(body));
     let answer = answer_from(parts.status, &parts.headers, &call.id, body);
-    Ok(WholeAnswer { answer, cost })
+    Ok(BufferedAnswer { answer, cost })
 }
 
 /// Reads a body to its end. The total time is not limited, but a pause longer than `stall_ms` is an error.
@@ -114,7 +114,7 @@
 ) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    headers::pass_on(from, response.headers_mut());
+    headers::forward_headers(from, response.headers_mut());
     response
         .headers_mut()
         .insert(RAN_HEADER, HeaderValue::from_static("ran"));
@@ -124,16 +124,16 @@
     response
 }
 
-fn whole_cost<P: SharePolicy>(shared: &Shared<P>, call: &Call<P>, body: &Bytes) -> f64 {
+fn buffered_answer_cost<P: SharePolicy>(shared: &Shared<P>, call: &Call<P>, body: &Bytes) -> f64 {
     match call.service.service.cost_unit {
-        CostUnit::Tokens => whole_answer_tokens(body).unwrap_or(0) as f64,
+        CostUnit::Tokens => reported_tokens(body).unwrap_or(0) as f64,
         CostUnit::Requests => 1.0,
         CostUnit::Milliseconds => shared.clock.now().since_ms(call.admitted_at).max(1) as f64,
     }
 }
 
 /// Records the load and cache state that a server's answer reports. It describes a past state of the server.
-pub(crate) fn note_hints<P: SharePolicy>(
+pub(crate) fn record_server_state<P: SharePolicy>(
     shared: &Shared<P>,
     call: &Call<P>,
     server: ServerKey,
--- a/crates/reedsail_daemon/src/traffic/serve.rs
+++ b/crates/reedsail_daemon/src/traffic/serve.rs
@@ -19,23 +19,23 @@
 use super::Pool;
 use super::answer::AnswerBody;
 use super::answer::failure_answer;
-use super::backend::AttemptsSoFar;
+use super::backend::SendState;
 use super::backend::send_call;
 use super::call::Call;
 use super::call::read_call;
 use super::claim::claim_key;
 use super::queueing::wait_for_slot;
 use super::relay::is_stream;
-use super::relay::relay_whole;
+use super::relay::relay_buffered;
 use super::stream::relay_stream;
 use crate::shared::OpenRequest;
 use crate::shared::Shared;
 
 /// The maximum number of retries after an incomplete answer.
-const BROKEN_ANSWERS_MAX: usize = 2;
+const BROKEN_ANSWER_RETRIES_MAX: usize = 2;
 
 /// The number of the next request of the process.
-static REQUESTS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// Serves one request. Every failure becomes an answer.
 pub(crate) async fn serve_request<P: SharePolicy>(
@@ -44,7 +44,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let open = shared.open_request();
-    let number = REQUESTS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed);
     let id = format!("{}-{:08x}-{number}", shared.settings.instance, shared.incarnation);
     let outcome = match read_call(&shared, request, id.clone()).await {
         Ok(call) => run_call(&shared, &pool, call, open).await,
@@ -122,15 +122,16 @@
         Err(kind) => return Err(unsent.refuse(kind)),
     };
     note_dispatch(&shared, &call, slot.server());
-    let mut so_far = AttemptsSoFar::Unsent(unsent);
+    let mut send_state = SendState::Unsent(unsent);
     let mut tried = Vec::new();
     loop {
-        let answering = send_call(&shared, &pool, &call, &mut slot, so_far, 0, tried.clone()).await?;
+        let started_answer =
+            send_call(&shared, &pool, &call, &mut slot, send_state, 0, tried.clone()).await?;
         note_first_byte(&shared, &call);
-        if is_stream(&call, &answering) {
-            return Ok(relay_stream(shared, pool, call, slot, answering, open));
+        if is_stream(&call, &started_answer) {
+            return Ok(relay_stream(shared, pool, call, slot, started_answer, open));
         }
-        let broken = match relay_whole(&shared, &pool, &call, answering).await {
+        let broken = match relay_buffered(&shared, &pool, &call, started_answer).await {
             Ok(whole) => {
                 slot.close(whole.cost);
                 note_answer(&shared, &call, &whole.answer);
@@ -141,7 +142,7 @@
         // Nothing has reached the caller, so a call that may be repeated is retried, on another server if
         // one has a free slot.
         let in_time = call.repeat == Repeat::Allowed && shared.clock.now() < call.deadline;
-        if !in_time || tried.len() >= BROKEN_ANSWERS_MAX || !call.service.cell.spend_retry() {
+        if !in_time || tried.len() >= BROKEN_ANSWER_RETRIES_MAX || !call.service.cell.spend_retry() {
             return Err(broken.sent.fail(broken.kind));
         }
         shared
@@ -151,7 +152,7 @@
             .inc();
         tried.push(broken.server);
         slot.restart(&tried);
-        so_far = AttemptsSoFar::Sent(broken.sent);
+        send_state = SendState::Sent(broken.sent);
     }
 }
 
--- a/crates/reedsail_daemon/src/traffic/stream.rs
+++ b/crates/reedsail_daemon/src/traffic/stream.rs
@@ -21,15 +21,15 @@
 use super::Pool;
 use super::answer::AnswerBody;
 use super::answer::AnswerBroken;
-use super::backend::Answering;
-use super::backend::AttemptsSoFar;
+use super::backend::SendState;
+use super::backend::StartedAnswer;
 use super::backend::send_call;
 use super::call::Call;
 use super::chat::StreamEvent;
 use super::chat::read_event;
 use super::queueing::wait_for_slot;
 use super::relay::answer_from;
-use super::relay::note_hints;
+use super::relay::record_server_state;
 use crate::service_cell::Slot;
 use crate::shared::OpenRequest;
 use crate::shared::Shared;
@@ -76,18 +76,18 @@
     pool: Arc<Pool>,
     call: Call<P>,
     slot: Slot<P>,
-    answering: Answering,
+    started_answer: StartedAnswer,
     open: OpenRequest<P>,
 ) -> Response<AnswerBody> {
     let (sender, body) = Channel::new(EVENTS_QUEUED_MAX);
-    let headers = answering.response.headers();
+    let headers = started_answer.response.headers();
     let answer = answer_from(
-        answering.response.status(),
+        started_answer.response.status(),
         headers,
         &call.id,
         Either::Right(body),
     );
-    note_hints(&shared, &call, answering.server, headers);
+    record_server_state(&shared, &call, started_answer.server, headers);
     let relay = StreamRelay {
         shared,
         pool,
@@ -100,52 +100,56 @@
         done: false,
     };
     tokio::spawn(async move {
-        relay.run(answering).await;
+        relay.run(started_answer).await;
         drop(open);
     });
     answer
 }
 
 impl<P: SharePolicy> StreamRelay<P> {
-    async fn run(mut self, first: Answering) {
-        let mut answering = first;
-        let mut breaks = 0;
+    async fn run(mut self, first: StartedAnswer) {
+        let mut started_answer = first;
+        let mut break_count = 0;
         loop {
-            let server = answering.server;
-            let (parts, mut body) = answering.response.into_parts();
-            let end = self.pass_on(&mut body).await;
+            let server = started_answer.server;
+            let (parts, mut body) = started_answer.response.into_parts();
+            let end = self.relay_events(&mut body).await;
             if matches!(end, StreamEnd::Whole) {
                 let now = self.shared.clock.now();
-                self.pool
-                    .give_back(answering.address, answering.connection, &parts.headers, now);
+                self.pool.give_back(
+                    started_answer.address,
+                    started_answer.connection,
+                    &parts.headers,
+                    now,
+                );
                 self.finish();
                 return;
             }
             // Dropping the body and the connection cancels the stream on the server.
             drop(body);
-            drop(answering.connection);
+            drop(started_answer.connection);
             let resumed = match end {
                 StreamEnd::Whole => return,
                 StreamEnd::CallerGone => {
                     self.emit(EventKind::CallerGone);
                     return;
                 }
-                StreamEnd::Preempted => self.wait_for_turn().await,
-                StreamEnd::Broken if breaks < RESUMES_MAX => {
-                    breaks += 1;
-                    self.resume_elsewhere(server).await
+                StreamEnd::Preempted => self.requeue_preempted().await,
+                StreamEnd::Broken if break_count < RESUMES_MAX => {
+                    break_count += 1;
+                    self.resume_on_another_server(server).await
                 }
                 StreamEnd::Broken => None,
             };
             let Some(resumed) = resumed else { break };
-            answering = resumed;
+            started_answer = resumed;
         }
         self.emit(EventKind::RequestFailed);
         self.sender.abort(AnswerBroken);
     }
 
     /// Relays events until the stream ends, breaks, is preempted or the caller disconnects.
-    async fn pass_on(&mut self, body: &mut Incoming) -> StreamEnd {
+    async fn relay_events(&mut self, body: &mut Incoming) -> StreamEnd {
         let stall = Duration::from_millis(self.shared.settings.limits.stall_max_ms);
         loop {
             let frame = match timeout(stall, body.frame()).await {
@@ -190,19 +194,19 @@
 
     /// Releases the slot of a preempted stream, queues it again, and resumes it after the last delivered
     /// token.
-    async fn wait_for_turn(&mut self) -> Option<Answering> {
+    async fn requeue_preempted(&mut self) -> Option<StartedAnswer> {
         self.emit(EventKind::StreamPreempted);
         self.shared
             .metrics
             .retries
             .with_label_values(&["preempted"])
             .inc();
-        self.take_another_slot().await?;
-        self.go_on(Vec::new()).await
+        self.requeue().await?;
+        self.resend(Vec::new()).await
     }
 
     /// Releases the slot and queues for another.
-    async fn take_another_slot(&mut self) -> Option<()> {
+    async fn requeue(&mut self) -> Option<()> {
         self.slot = None;
         self.tokens_before = self.tokens;
         self.extend_deadline();
@@ -219,32 +223,32 @@
     }
 
     /// Resumes the stream on another server after the last delivered token.
-    async fn resume_elsewhere(&mut self, broken: ServerKey) -> Option<Answering> {
+    async fn resume_on_another_server(&mut self, broken: ServerKey) -> Option<StartedAnswer> {
         let now = self.shared.clock.now();
         self.call.service.cell.lock().record_failure(broken, now);
         let tried = vec![broken];
         if !self.slot.as_mut()?.restart(&tried) {
             // No other server has a free slot, so queue for one. The caller already has the first part of the
             // stream and needs the rest, so resuming does not use the retry budget.
-            self.take_another_slot().await?;
+            self.requeue().await?;
         }
         self.extend_deadline();
-        let resumed = self.go_on(tried).await?;
+        let resumed = self.resend(tried).await?;
         self.emit(EventKind::StreamResumed);
         Some(resumed)
     }
 
     /// Sends the call again, to resume after the last delivered token.
-    async fn go_on(&mut self, tried: Vec<ServerKey>) -> Option<Answering> {
+    async fn resend(&mut self, tried: Vec<ServerKey>) -> Option<StartedAnswer> {
         self.splitter.clear();
         let slot = self.slot.as_mut()?;
-        let so_far = AttemptsSoFar::Unsent(Unsent::new());
+        let send_state = SendState::Unsent(Unsent::new());
         send_call(
             &self.shared,
             &self.pool,
             &self.call,
             slot,
-            so_far,
+            send_state,
             self.tokens,
             tried,
         )
--- a/crates/reedsail_daemon/src/traffic/thread.rs
+++ b/crates/reedsail_daemon/src/traffic/thread.rs
@@ -25,7 +25,7 @@
 }
 
 /// The maximum number of idle connections to one server.
-const IDLE_MAX: usize = 256;
+const IDLE_CONNECTIONS_MAX: usize = 256;
 
 /// Serves callers until the daemon is closing.
 ///
@@ -33,7 +33,7 @@
 /// Returns the I/O error if the listener cannot be used.
 pub(crate) async fn run_traffic<P: SharePolicy>(thread: TrafficThread<P>) -> std::io::Result<()> {
     let listener = TcpListener::from_std(thread.listener)?;
-    let pool = Arc::new(Pool::new(IDLE_MAX));
+    let pool = Arc::new(Pool::new(IDLE_CONNECTIONS_MAX));
     let mut closing = thread.stage_changed.clone();
     loop {
         tokio::select! {
--- a/crates/reedsail_daemon/tests/process.rs
+++ b/crates/reedsail_daemon/tests/process.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn sigterm_under_200_open_streams_cuts_none_and_ends_with_zero() {
+fn sigterm_with_200_open_streams_aborts_none_and_exits_with_0() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let folder = tempfile::tempdir().unwrap();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_paused_process_past_its_lease_does_no_harm() {
+fn slots_of_a_process_paused_past_its_lease_go_to_the_other_daemon() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let folder = tempfile::tempdir().unwrap();
@@ -166,18 +166,21 @@
         let (mut child, address) = start_process(&fleet, folder.path());
         assert_eq!(first_outcome(address).await, Outcome::Answered, "it gets ready");
         signal(&child, "-STOP");
-        let own = fleet.callers["hall-a-1"];
-        let mut all_slots = false;
+        let own_callers = fleet.callers["hall-a-1"];
+        let mut has_all_slots = false;
         for _ in 0..300 {
-            all_slots = fleet.daemons["hall-a-1"].slot_counts("assistant-llm").0 == 64;
-            if all_slots {
+            has_all_slots = fleet.daemons["hall-a-1"].slot_counts("assistant-llm").0 == 64;
+            if has_all_slots {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        assert!(all_slots, "the leases of the paused process expire, and its slots go to the other daemon");
+        assert!(
+            has_all_slots,
+            "the leases of the paused process expire, and its slots go to the other daemon"
+        );
         assert_eq!(
-            Caller::run(own, "labska", &plan(1)).await.outcome,
+            Caller::run(own_callers, "labska", &plan(1)).await.outcome,
             Outcome::Answered
         );
         signal(&child, "-CONT");
@@ -196,7 +199,7 @@
 }
 
 #[test]
-fn wrong_settings_end_with_two_and_name_the_fault() {
+fn invalid_settings_exit_with_2_and_name_the_fault() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("wrong.yaml");
     std::fs::write(&file, "instance: hall a\n").unwrap();
--- a/crates/reedsail_daemon/tests/settings.rs
+++ b/crates/reedsail_daemon/tests/settings.rs
@@ -4,7 +4,7 @@
 use reedsail_daemon::Settings;
 use reedsail_document::render_faults;
 
-const LEAST: &str = "\
+const MINIMAL_SETTINGS: &str = "\
 instance: hall-a-1
 failure_domain: hall-a
 listen: {callers: '127.0.0.1:8080', peers: '127.0.0.1:8081', admin: '127.0.0.1:8082'}
@@ -15,14 +15,14 @@
 ";
 
 #[test]
-fn the_least_settings_are_enough() {
-    let settings = Settings::read(LEAST).unwrap();
+fn minimal_settings_are_accepted() {
+    let settings = Settings::read(MINIMAL_SETTINGS).unwrap();
     insta::assert_debug_snapshot!(settings);
 }
 
 #[test]
 fn every_fault_names_the_key_the_value_and_what_is_allowed() {
-    let bad = LEAST
+    let bad = MINIMAL_SETTINGS
         .replace("8080'", "port'")
         .replace("role: approver", "role: boss")
         .replace("platform: 127.0.0.1:7000", "platform: here")
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_baseline_with_fixed_parts_needs_the_number_of_daemons() {
-    let settings = Settings::read(&format!("{LEAST}policy: split\nsplit_daemons: 9\n")).unwrap();
+fn the_split_policy_reads_the_number_of_daemons() {
+    let settings = Settings::read(&format!("{MINIMAL_SETTINGS}policy: split\nsplit_daemons: 9\n")).unwrap();
     assert_eq!(settings.policy, PolicyChoice::Split { daemons: 9 });
 }
--- a/crates/reedsail_wire/src/claim_rows.rs
+++ b/crates/reedsail_wire/src/claim_rows.rs
@@ -115,8 +115,8 @@
 }
 
 fn read_key(bytes: &[u8]) -> Result<ClaimKey, Error> {
-    let bytes =
-        <[u8; 16]>::try_from(bytes).map_err(|_| Error::failed("an idempotency key is not 16 bytes long".to_owned()))?;
+    let bytes = <[u8; 16]>::try_from(bytes)
+        .map_err(|_| Error::failed("an idempotency key is not 16 bytes long".to_owned()))?;
     Ok(ClaimKey(u128::from_be_bytes(bytes)))
 }
 
@@ -137,6 +137,6 @@
         2 => ClaimVerdict::Ended(status),
         3 => ClaimVerdict::Unavailable,
         4 => ClaimVerdict::Unsettled,
-        other => return Err(Error::failed(format!("unknown verdict {other}; known verdicts are 0 to 4"))),
+        other => return Err(Error::failed(format!("unknown verdict {other}; known: 0 to 4"))),
     })
 }
--- a/crates/reedsail_wire/src/grant.rs
+++ b/crates/reedsail_wire/src/grant.rs
@@ -12,7 +12,7 @@
 use crate::message::SERVICES_MAX;
 use crate::message::check_finite;
 use crate::message::check_rows;
-use crate::message::coarse;
+use crate::message::truncate_precision;
 use crate::peer_capnp::grant;
 use crate::peer_capnp::service_grant;
 
@@ -27,10 +27,10 @@
         service_builder.set_service(directory.services.hash(*service).0);
         write_service(row, directory, service_builder);
     }
-    if !grant.leaving.is_empty() {
-        let mut leaving = builder.init_leaving(grant.leaving.len() as u32);
-        for (index, server) in grant.leaving.iter().enumerate() {
-            leaving.set(index as u32, server.0);
+    if !grant.servers_leaving.is_empty() {
+        let mut servers = builder.init_leaving(grant.servers_leaving.len() as u32);
+        for (index, server) in grant.servers_leaving.iter().enumerate() {
+            servers.set(index as u32, server.0);
         }
     }
 }
@@ -47,8 +47,8 @@
     for (index, row) in grant.virtual_times.iter().enumerate() {
         let mut time = times.reborrow().get(index as u32);
         time.set_workspace(directory.workspaces.hash(row.workspace).0);
-        time.set_lead(coarse(row.lead));
-        time.set_share(coarse(row.share));
+        time.set_lead(truncate_precision(row.lead));
+        time.set_share(truncate_precision(row.share));
     }
 }
 
@@ -62,15 +62,15 @@
             services.push((service, grant));
         }
     }
-    let leaving = reader.get_leaving()?;
-    check_rows(leaving.len(), ROWS_MAX)?;
+    let servers_leaving = reader.get_leaving()?;
+    check_rows(servers_leaving.len(), ROWS_MAX)?;
     Ok(Grant {
         incarnation: reader.get_incarnation(),
         clock: reader.get_clock(),
         next_report_ms: reader.get_next_report_ms(),
         lease_ms: reader.get_lease_ms(),
         services,
-        leaving: leaving.iter().map(NameHash).collect(),
+        servers_leaving: servers_leaving.iter().map(NameHash).collect(),
     })
 }
 
--- a/crates/reedsail_wire/src/link.rs
+++ b/crates/reedsail_wire/src/link.rs
@@ -103,7 +103,9 @@
             let response = request.send().promise.await?;
             let rows = response.get()?.get_verdicts()?;
             if rows.len() != expected {
-                return Err(Error::failed("the number of verdicts differs from the number of claims".to_owned()));
+                return Err(Error::failed(
+                    "the number of verdicts differs from the number of claims".to_owned(),
+                ));
             }
             rows.iter()
                 .map(|row| read_verdict(row.get_state(), row.get_status()))
--- a/crates/reedsail_wire/src/load_message.rs
+++ b/crates/reedsail_wire/src/load_message.rs
@@ -50,7 +50,7 @@
 }
 
 impl LoadScope {
-    fn number(self) -> u8 {
+    fn code(self) -> u8 {
         match self {
             Self::Instance => 0,
             Self::Member => 1,
@@ -60,15 +60,15 @@
         }
     }
 
-    fn of_number(number: u8) -> Result<Self, capnp::Error> {
-        match number {
+    fn from_code(code: u8) -> Result<Self, capnp::Error> {
+        match code {
             0 => Ok(Self::Instance),
             1 => Ok(Self::Member),
             2 => Ok(Self::Aggregate),
             3 => Ok(Self::Fleet),
             4 => Ok(Self::Heartbeat),
             _ => Err(capnp::Error::failed(format!(
-                "unknown scope {number} in a load message; known scopes are 0 to 4"
+                "unknown scope {code} in a load message; known scopes are 0 to 4"
             ))),
         }
     }
@@ -176,7 +176,7 @@
         root.set_servers_digest(self.servers_digest);
         root.set_servers_age_ms(self.servers_age_ms);
         root.set_stopping(self.is_stopping);
-        root.set_scope(self.scope.number());
+        root.set_scope(self.scope.code());
         root.set_protocol(self.protocol);
         root.set_processor_milli(self.processor_milli);
         root.set_instances(self.instances);
@@ -298,7 +298,7 @@
             servers_digest: root.get_servers_digest(),
             servers_age_ms: root.get_servers_age_ms(),
             is_stopping: root.get_stopping(),
-            scope: LoadScope::of_number(root.get_scope())?,
+            scope: LoadScope::from_code(root.get_scope())?,
             protocol: root.get_protocol(),
             processor_milli: root.get_processor_milli(),
             instances: root.get_instances(),
--- a/crates/reedsail_wire/src/message.rs
+++ b/crates/reedsail_wire/src/message.rs
@@ -25,7 +25,7 @@
     /// The version of the bundle that the sender has in force.
     pub bundle_version: u32,
     /// Whether the sender is stopping.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// The reports by service.
     pub services: Vec<(ServiceKey, ServiceReport)>,
     /// Daemons that did not answer the sender.
@@ -48,7 +48,7 @@
     /// The leases by service.
     pub services: Vec<(ServiceKey, ServiceGrant)>,
     /// Backend servers that are leaving.
-    pub leaving: Vec<NameHash>,
+    pub servers_leaving: Vec<NameHash>,
 }
 
 /// A claim on a key.
@@ -87,10 +87,10 @@
 }
 
 /// Rejects a list that is longer than any correct peer sends.
-pub(crate) fn check_rows(length: u32, most: u32) -> Result<(), Error> {
-    if length > most {
+pub(crate) fn check_rows(length: u32, rows_max: u32) -> Result<(), Error> {
+    if length > rows_max {
         return Err(Error::failed(format!(
-            "a list has {length} rows; at most {most} are accepted"
+            "a list has {length} rows; at most {rows_max} are accepted"
         )));
     }
     Ok(())
@@ -98,7 +98,7 @@
 
 /// Keeps the upper half of a number's bits, a precision of one in 256. That is enough for a hint to the next
 /// allocator or for a divisor, and the zero bits need almost no bytes on the wire.
-pub(crate) fn coarse(number: f64) -> f32 {
+pub(crate) fn truncate_precision(number: f64) -> f32 {
     f32::from_bits((number as f32).to_bits() & 0xffff_0000)
 }
 
--- a/crates/reedsail_wire/src/report.rs
+++ b/crates/reedsail_wire/src/report.rs
@@ -13,7 +13,7 @@
 use crate::message::SERVICES_MAX;
 use crate::message::check_finite;
 use crate::message::check_rows;
-use crate::message::coarse;
+use crate::message::truncate_precision;
 use crate::peer_capnp::report;
 use crate::peer_capnp::service_report;
 
@@ -22,7 +22,7 @@
     builder.set_incarnation(report.incarnation);
     builder.set_clock(report.clock);
     builder.set_bundle_version(report.bundle_version);
-    builder.set_leaving(report.leaving);
+    builder.set_leaving(report.is_leaving);
     let mut services = builder.reborrow().init_services(report.services.len() as u32);
     for (index, (service, row)) in report.services.iter().enumerate() {
         let mut service_builder = services.reborrow().get(index as u32);
@@ -71,7 +71,7 @@
         demand.set_queued(saturate(row.queued));
         demand.set_running(saturate(row.running));
         demand.set_cost_total(row.cost_total);
-        demand.set_lead(coarse(row.lead));
+        demand.set_lead(truncate_precision(row.lead));
     }
 }
 
@@ -94,7 +94,7 @@
         incarnation: reader.get_incarnation(),
         clock: reader.get_clock(),
         bundle_version: reader.get_bundle_version(),
-        leaving: reader.get_leaving(),
+        is_leaving: reader.get_leaving(),
         services,
         suspects: suspects.iter().map(NameHash).collect(),
         servers_leaving: servers_leaving.iter().map(NameHash).collect(),
@@ -105,7 +105,7 @@
     let kind = match reader.get_kind() {
         0 => MemberKind::Instance,
         1 => MemberKind::Domain,
-        other => return Err(Error::failed(format!("unknown member kind {other}; known kinds are 0 and 1"))),
+        other => return Err(Error::failed(format!("unknown member kind {other}; known: 0, 1"))),
     };
     let slot_rows = reader.get_slots()?;
     let resting_rows = reader.get_resting()?;
--- a/crates/reedsail_wire/src/server.rs
+++ b/crates/reedsail_wire/src/server.rs
@@ -33,8 +33,8 @@
 
 /// Handles the calls of peers.
 pub trait PeerHandler: 'static {
-    /// Calls `use_it` with the names that the daemon knows.
-    fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T;
+    /// Calls `operation` with the names that the daemon knows.
+    fn with_directory<T>(&self, operation: impl FnOnce(&Directory) -> T) -> T;
 
     /// Answers a report with a grant.
     fn exchange(&self, report: Report) -> impl Future<Output = Grant> + 'static;
--- a/crates/reedsail_wire/tests/golden.rs
+++ b/crates/reedsail_wire/tests/golden.rs
@@ -53,7 +53,7 @@
 use tokio::time::timeout;
 
 /// How long a connection must be quiet before its message counts as complete.
-const QUIET: Duration = Duration::from_millis(300);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// Formats bytes as lines of 32, so that a changed field shows as a changed line.
 fn hex_lines(bytes: &[u8]) -> String {
@@ -62,7 +62,7 @@
 }
 
 /// Reads the bytes in a snapshot of this file.
-fn kept(name: &str) -> Vec<u8> {
+fn snapshot_bytes(name: &str) -> Vec<u8> {
     let file = format!(
         "{}/tests/snapshots/golden__{name}.snap",
         env!("CARGO_MANIFEST_DIR")
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_load_message_of_the_first_release_is_read() {
-    let read = LoadMessage::decode(&kept("load_message_first_release")).unwrap();
+    let read = LoadMessage::decode(&snapshot_bytes("load_message_first_release")).unwrap();
     let mut load = load_message().load;
     load.servers[0].is_down = false;
     load.servers[0].is_draining = false;
@@ -174,17 +174,17 @@
 
 #[test]
 fn a_load_message_of_a_release_without_eras_is_read() {
-    let read = LoadMessage::decode(&kept("load_message_before_eras")).unwrap();
+    let read = LoadMessage::decode(&snapshot_bytes("load_message_before_eras")).unwrap();
     assert_eq!(read.servers_revision, StorePosition::new(0, 0x0707));
     assert_eq!(read.evacuations[0].revision, StorePosition::new(0, 77));
 }
 
 #[test]
-fn the_load_message_keeps_its_bytes() {
+fn the_bytes_of_a_load_message_are_unchanged() {
     let bytes = load_message().encode().unwrap();
     insta::assert_snapshot!("load_message", hex_lines(&bytes));
     assert_eq!(
-        LoadMessage::decode(&kept("load_message")).unwrap(),
+        LoadMessage::decode(&snapshot_bytes("load_message")).unwrap(),
         load_message()
     );
 }
@@ -205,9 +205,12 @@
 }
 
 #[test]
-fn a_claim_record_keeps_its_bytes() {
+fn the_bytes_of_a_claim_record_are_unchanged() {
     insta::assert_snapshot!("claim_batch", hex_lines(&claim_batch().to_bytes()));
-    assert_eq!(ClaimBatch::parse(&kept("claim_batch")).unwrap(), claim_batch());
+    assert_eq!(
+        ClaimBatch::parse(&snapshot_bytes("claim_batch")).unwrap(),
+        claim_batch()
+    );
 }
 
 fn directory() -> Directory {
@@ -245,7 +248,7 @@
         incarnation: 0x3838,
         clock: 0x3939,
         bundle_version: 0x3a3a,
-        leaving: true,
+        is_leaving: true,
         services: vec![(
             directory.services.find(NameHash::of("assistant-llm")).unwrap(),
             row,
@@ -257,33 +260,33 @@
 
 /// A handler that answers with fixed values and records the requests.
 #[derive(Clone)]
-struct Recorder {
+struct RecordingHandler {
     directory: Rc<Directory>,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Recorder {
+impl RecordingHandler {
     fn new() -> Self {
         Self {
             directory: Rc::new(directory()),
-            asked: Arc::default(),
+            requests: Arc::default(),
         }
     }
 
-    fn asked(&self) -> String {
-        self.asked.lock().unwrap().join("\n")
+    fn requests(&self) -> String {
+        self.requests.lock().unwrap().join("\n")
     }
 }
 
-impl PeerHandler for Recorder {
-    fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T {
-        use_it(&self.directory)
+impl PeerHandler for RecordingHandler {
+    fn with_directory<T>(&self, operation: impl FnOnce(&Directory) -> T) -> T {
+        operation(&self.directory)
     }
 
     fn exchange(&self, report: Report) -> impl Future<Output = Grant> + 'static {
         let (service, row) = &report.services[0];
         let (server, workspace) = (row.slots[0].server, row.demands[0].workspace);
-        self.asked.lock().unwrap().push(format!("{report:?}"));
+        self.requests.lock().unwrap().push(format!("{report:?}"));
         let grant = ServiceGrant {
             base: 2345.5,
             leases: vec![LeaseRow {
@@ -302,7 +305,7 @@
             next_report_ms: 0x4444,
             lease_ms: 0x4545,
             services: vec![(*service, grant)],
-            leaving: vec![NameHash(0x4646)],
+            servers_leaving: vec![NameHash(0x4646)],
         })
     }
 
@@ -311,7 +314,7 @@
         claims: Vec<ClaimRequest>,
         ends: Vec<ClaimEnd>,
     ) -> impl Future<Output = Vec<ClaimVerdict>> + 'static {
-        self.asked.lock().unwrap().push(format!("{claims:?} {ends:?}"));
+        self.requests.lock().unwrap().push(format!("{claims:?} {ends:?}"));
         std::future::ready(vec![
             ClaimVerdict::Held,
             ClaimVerdict::InUse,
@@ -322,7 +325,7 @@
     }
 
     fn bundle(&self) -> impl Future<Output = Option<(u32, Vec<u8>)>> + 'static {
-        self.asked.lock().unwrap().push("bundle".to_owned());
+        self.requests.lock().unwrap().push("bundle".to_owned());
         std::future::ready(Some((4, b"a record".to_vec())))
     }
 }
@@ -331,7 +334,7 @@
 async fn read_until_quiet(stream: &mut DeflateStream<TcpStream>) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut buffer = vec![0; 64 << 10];
-    while let Ok(Ok(length)) = timeout(QUIET, stream.read(&mut buffer)).await {
+    while let Ok(Ok(length)) = timeout(QUIET_PERIOD, stream.read(&mut buffer)).await {
         if length == 0 {
             break;
         }
@@ -341,7 +344,7 @@
 }
 
 /// Runs one call to a peer that never answers, and returns the bytes that the caller sent.
-async fn sent_by<F: Future<Output = ()>>(call: impl FnOnce(PeerLink) -> F) -> Vec<u8> {
+async fn bytes_sent_by<F: Future<Output = ()>>(call: impl FnOnce(PeerLink) -> F) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let link = PeerLink::open(address, 1_000, ByteCounter::default())
@@ -354,7 +357,7 @@
 }
 
 /// Sends the bytes of a request to a server with `handler`, and returns the bytes of its answer.
-async fn answer_to(request: &[u8], handler: Recorder) -> Vec<u8> {
+async fn answer_bytes(request: &[u8], handler: RecordingHandler) -> Vec<u8> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(serve_peers(listener, Rc::new(handler), ByteCounter::default()));
@@ -373,50 +376,50 @@
 }
 
 #[test]
-fn a_report_and_its_grant_keep_their_bytes() {
+fn the_bytes_of_a_report_and_its_grant_are_unchanged() {
     on_local_set(async {
         let directory = directory();
-        let sent = sent_by(async |link| {
+        let sent = bytes_sent_by(async |link| {
             // The peer never answers.
             let _ = link.exchange(&report(&directory), &directory).await;
         })
         .await;
         insta::assert_snapshot!("exchange_request", hex_lines(&sent));
-        let handler = Recorder::new();
-        let answer = answer_to(&kept("exchange_request"), handler.clone()).await;
+        let handler = RecordingHandler::new();
+        let answer = answer_bytes(&snapshot_bytes("exchange_request"), handler.clone()).await;
         insta::assert_snapshot!("exchange_answer", hex_lines(&answer));
-        insta::assert_snapshot!("exchange_as_read", handler.asked());
+        insta::assert_snapshot!("exchange_as_read", handler.requests());
     });
 }
 
 #[test]
-fn a_claim_and_its_verdicts_keep_their_bytes() {
+fn the_bytes_of_a_claim_and_its_verdicts_are_unchanged() {
     on_local_set(async {
         let batch = claim_batch();
-        let sent = sent_by(async |link| {
+        let sent = bytes_sent_by(async |link| {
             // The peer never answers.
             let _ = link.claim(&batch.claims, &batch.ends).await;
         })
         .await;
         insta::assert_snapshot!("claim_request", hex_lines(&sent));
-        let handler = Recorder::new();
-        let answer = answer_to(&kept("claim_request"), handler.clone()).await;
+        let handler = RecordingHandler::new();
+        let answer = answer_bytes(&snapshot_bytes("claim_request"), handler.clone()).await;
         insta::assert_snapshot!("claim_answer", hex_lines(&answer));
-        insta::assert_snapshot!("claim_as_read", handler.asked());
+        insta::assert_snapshot!("claim_as_read", handler.requests());
     });
 }
 
 #[test]
-fn a_fetch_of_a_bundle_keeps_its_bytes() {
+fn the_bytes_of_a_bundle_fetch_are_unchanged() {
     on_local_set(async {
-        let sent = sent_by(async |link| {
+        let sent = bytes_sent_by(async |link| {
             // The peer never answers.
             let _ = link.fetch_bundle(3).await;
         })
         .await;
         insta::assert_snapshot!("bundle_request", hex_lines(&sent));
-        let handler = Recorder::new();
-        let answer = answer_to(&kept("bundle_request"), handler.clone()).await;
+        let handler = RecordingHandler::new();
+        let answer = answer_bytes(&snapshot_bytes("bundle_request"), handler.clone()).await;
         insta::assert_snapshot!("bundle_answer", hex_lines(&answer));
     });
 }
--- a/crates/reedsail_wire/tests/load_message.rs
+++ b/crates/reedsail_wire/tests/load_message.rs
@@ -106,20 +106,20 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_encoded_is_decoded(rows in 0_u32..200, cost in 0.0_f32..1e9) {
+    fn a_decoded_message_equals_the_encoded_one(rows in 0_u32..200, cost in 0.0_f32..1e9) {
         let sent = message(rows, cost);
         let read = LoadMessage::decode(&sent.encode().unwrap()).unwrap();
         assert_eq!(read, sent);
     }
 
     #[test]
-    fn bytes_of_any_kind_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         // Both outcomes are fine. The test guards against a panic and an endless read.
         let _ = LoadMessage::decode(&bytes);
     }
 
     #[test]
-    fn a_damaged_message_is_read_or_refused(at in 0_usize..400, value in any::<u8>()) {
+    fn a_corrupted_message_is_decoded_or_rejected(at in 0_usize..400, value in any::<u8>()) {
         let mut bytes = message(20, 5.0).encode().unwrap();
         let index = at % bytes.len();
         bytes[index] = value;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_cost_that_is_no_amount_counts_as_nothing() {
+fn an_invalid_cost_counts_as_zero() {
     for cost in [f32::NAN, f32::INFINITY, -5.0] {
         let read = LoadMessage::decode(&message(1, cost).encode().unwrap()).unwrap();
         assert!(read.load.workspaces[0].requested_cost.abs() < f32::EPSILON);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_message_of_an_unknown_scope_is_refused() {
+fn a_message_with_an_unknown_scope_is_rejected() {
     let fleet = message(0, 1.0);
     let aggregate = LoadMessage {
         scope: LoadScope::Aggregate,
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_list_longer_than_any_daemon_sends_is_refused() {
+fn a_list_over_the_row_limit_is_rejected() {
     let bytes = message(5_000, 1.0).encode().unwrap();
     assert!(LoadMessage::decode(&bytes).is_err());
 }
--- a/crates/reedsail_wire/tests/wire.rs
+++ b/crates/reedsail_wire/tests/wire.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_claim_batch_is_read_as_it_was_written() {
+fn a_decoded_claim_batch_equals_the_encoded_one() {
     assert_eq!(ClaimBatch::parse(&batch(9).to_bytes()).unwrap(), batch(9));
 }
 
@@ -59,10 +59,10 @@
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_record_brings_the_reader_down(place in any::<usize>(), byte in any::<u8>(), cut in any::<usize>()) {
+    fn a_corrupted_record_does_not_panic(at in any::<usize>(), byte in any::<u8>(), cut in any::<usize>()) {
         let mut bytes = batch(5).to_bytes();
-        let place = place % bytes.len();
-        bytes[place] = byte;
+        let at = at % bytes.len();
+        bytes[at] = byte;
         bytes.truncate(cut % (bytes.len() + 1));
         // Both outcomes are fine. The test guards against a panic.
         let _ = ClaimBatch::parse(&bytes);
@@ -93,7 +93,7 @@
         incarnation: 7,
         clock: 99,
         bundle_version: 3,
-        leaving: false,
+        is_leaving: false,
         services: vec![(
             directory.services.find(NameHash::of("assistant-llm")).unwrap(),
             ServiceReport {
@@ -128,11 +128,11 @@
 }
 
 /// A handler that copies values of the request into its answer.
-struct Echo(Directory);
+struct EchoHandler(Directory);
 
-impl PeerHandler for Echo {
-    fn with_directory<T>(&self, use_it: impl FnOnce(&Directory) -> T) -> T {
-        use_it(&self.0)
+impl PeerHandler for EchoHandler {
+    fn with_directory<T>(&self, operation: impl FnOnce(&Directory) -> T) -> T {
+        operation(&self.0)
     }
 
     fn exchange(&self, report: Report) -> impl Future<Output = Grant> + 'static {
@@ -165,7 +165,7 @@
             next_report_ms: 500,
             lease_ms: 3_000,
             services: services.collect(),
-            leaving: report.servers_leaving,
+            servers_leaving: report.servers_leaving,
         };
         async move { grant }
     }
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn calls_between_daemons_arrive_whole_and_grow_cheaper() {
+fn calls_between_daemons_round_trip_and_a_repeated_report_needs_under_half_the_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -198,7 +198,7 @@
         let address = listener.local_addr().unwrap();
         spawn_local(serve_peers(
             listener,
-            Rc::new(Echo(directory())),
+            Rc::new(EchoHandler(directory())),
             ByteCounter::default(),
         ));
         let counter = ByteCounter::default();
@@ -211,7 +211,7 @@
         assert_eq!(row.leases.len(), 9);
         assert_eq!(row.virtual_times.len(), 16);
         assert!((row.virtual_times[3].lead - 1.5).abs() < 0.01);
-        assert_eq!(grant.leaving, [NameHash(6)]);
+        assert_eq!(grant.servers_leaving, [NameHash(6)]);
         let first_bytes = counter.total_bytes();
         link.exchange(&report, &directory).await.unwrap();
         let second_bytes = counter.total_bytes() - first_bytes;
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_peer_that_talks_nonsense_is_dropped() {
+fn a_peer_that_sends_garbage_is_disconnected() {
     use tokio::io::AsyncReadExt;
     use tokio::io::AsyncWriteExt;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -242,13 +242,13 @@
         let address = listener.local_addr().unwrap();
         spawn_local(serve_peers(
             listener,
-            Rc::new(Echo(directory())),
+            Rc::new(EchoHandler(directory())),
             ByteCounter::default(),
         ));
-        let mut nonsense = tokio::net::TcpStream::connect(address).await.unwrap();
-        nonsense.write_all(&[0xff; 4_096]).await.unwrap();
+        let mut garbage = tokio::net::TcpStream::connect(address).await.unwrap();
+        garbage.write_all(&[0xff; 4_096]).await.unwrap();
         let mut answer = Vec::new();
-        let _ = nonsense.read_to_end(&mut answer).await;
+        let _ = garbage.read_to_end(&mut answer).await;
         // The next peer is still served.
         let link = PeerLink::open(address, 5_000, ByteCounter::default())
             .await
