--- a/crates/reedsail_soak/src/caller.rs
+++ b/crates/reedsail_soak/src/caller.rs
@@ -1,5 +1,4 @@
-//! Callers: they keep a connection for as long as it stays open, and note what became of each
-//! attempt.
+//! Callers: they reuse a connection while it stays open, and record the outcome of each attempt.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -37,28 +36,28 @@
 use crate::server::stream_answer;
 use crate::soak_clock::SoakClock;
 
-/// How long a caller waits for its answer.
+/// Deadline that a caller sends with its request.
 const DEADLINE_MS: u64 = layout::TIMEOUT_MS;
-/// A caller that hears nothing for so much longer gives up.
+/// Time after the deadline at which a caller without an answer gives up.
 const GRACE_MS: u64 = 1_500;
-/// How long connecting may take.
+/// Connect timeout.
 const CONNECT_MS: u64 = 500;
-/// How long a caller waits before it connects again.
+/// Delay before a caller reconnects.
 const RECONNECT_MS: u64 = 50;
-/// How many prompts there are whose shared part is the same.
+/// Number of different shared prompt prefixes.
 const PROMPTS: u64 = 12;
-/// Tokens of a prompt's shared part, and of its own.
+/// Tokens of a prompt's shared prefix and of its own part.
 const PROMPT_TOKENS: (u32, u32) = (2_000, 300);
 
-/// What a caller is like.
+/// The workspace and pace of a caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallerProfile {
     pub(crate) workspace: &'static str,
-    /// How long it pauses between two attempts on average.
+    /// Average pause between two attempts.
     pub(crate) pause_ms: u64,
 }
 
-/// What all callers share.
+/// State shared by all callers.
 #[derive(Debug)]
 pub(crate) struct CallerShared {
     pub(crate) fleet: Arc<Fleet>,
@@ -66,7 +65,7 @@
     /// The number of the newest key of the workspace whose key changes.
     pub(crate) newest_key: AtomicU64,
     pub(crate) clock: SoakClock,
-    /// When callers stop asking.
+    /// When callers stop sending requests.
     pub(crate) end_ms: u64,
 }
 
@@ -75,7 +74,7 @@
     daemon: usize,
 }
 
-/// Asks until the end of the soak.
+/// Sends requests until the end of the soak.
 pub(crate) async fn run_caller(shared: Arc<CallerShared>, profile: CallerProfile, number: u64, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed ^ (number << 32));
     let mut connection = None;
@@ -96,7 +95,7 @@
     }
 }
 
-/// Connects to a daemon that is ready, or to any where none is.
+/// Connects to a random ready instance, or to any instance if none is ready.
 async fn connect(shared: &CallerShared, random: &mut StdRng) -> Option<Connection> {
     let daemons = &shared.fleet.daemons;
     let ready: Vec<usize> = (0..daemons.len())
@@ -114,7 +113,7 @@
     })
 }
 
-/// Makes one attempt; returns the connection if it may be used again.
+/// Makes one attempt; returns the connection if it can be reused.
 async fn attempt(
     shared: &CallerShared,
     profile: CallerProfile,
@@ -142,12 +141,12 @@
         ended_ms: shared.clock.now_ms(),
         outcome,
     };
-    // Nobody listens once the soak has ended.
+    // The receiver is dropped when the soak has ended.
     let _ = shared.attempts.send(attempt);
     stays_open.then_some(connection)
 }
 
-/// The newest key, or now and then the one before it.
+/// Returns the newest key of the caller's workspace, or sometimes the previous one.
 fn choose_key(shared: &CallerShared, profile: CallerProfile, random: &mut StdRng) -> u64 {
     if profile.workspace != CHANGING {
         return 0;
@@ -178,7 +177,7 @@
     request
 }
 
-/// Sends a request and judges its answer; tells as well whether the connection stays open.
+/// Sends a request; returns its outcome and whether the connection stays open.
 async fn ask(
     http: &mut HttpConnection,
     request: Request<Full<Bytes>>,
--- a/crates/reedsail_soak/src/checker.rs
+++ b/crates/reedsail_soak/src/checker.rs
@@ -1,4 +1,4 @@
-//! Checks the promises against what was seen.
+//! Checks the router's guarantees against the observed history.
 
 use serde::Serialize;
 
@@ -10,19 +10,19 @@
 use crate::Target;
 use crate::notice_checks::check_notices;
 
-/// A version has to be in force on a daemon that nothing disturbs after this time.
+/// A version must be in force after this time on an instance without faults.
 const IN_FORCE_WITHIN_MS: u64 = 6_000;
-/// A server gets no new request after its leaving was written and this time has passed.
+/// A server must get no new request after this time from the write of its departure.
 const LEAVING_WITHIN_MS: u64 = 5_000;
-/// The traces of a fault are allowed for, for so long after it was undone.
+/// Violations are excused for this time after a fault was undone.
 pub(crate) const AFTERMATH_MS: u64 = 2_500;
-/// A planned stop has to be over after this time.
+/// A planned stop must be over after this time.
 const STOP_WITHIN_MS: u64 = 10_000;
-/// A process that was started so short a time ago may not have heard a signal yet, and serves nobody.
+/// A process younger than this may not have installed its signal handler, and serves no requests yet.
 const STARTING_MS: u64 = 1_500;
-/// An answer that breaks off so short a time before its request's time is over ran into that.
+/// An answer cut less than this time before its request's timeout was cut by the timeout.
 const TIME_OVER_MARGIN_MS: u64 = 100;
-/// Promises of which a machine that is busy otherwise can make a liar.
+/// Guarantees that other load on the machine can break.
 const TIMED_PROMISES: [&str; 6] = [
     "a final answer in time",
     "configuration in force in time",
@@ -31,26 +31,26 @@
     "each workspace its part",
     "well again in time",
 ];
-/// The last part of the soak, in which everything has to be well again.
+/// Last part of the soak, in which the fleet must have recovered.
 const RECOVERED_FOR_MS: u64 = 3_000;
-/// The part of the last attempts that has to be answered, in percent.
+/// Minimum percentage of the last attempts that must be answered.
 const RECOVERED_PERCENT: usize = 90;
-/// How many attempts may be cut without an answer by one planned stop: requests that cross the end
-/// of their connection.
+/// Maximum number of attempts that one planned stop may cut without an answer: requests sent while
+/// the instance closes their connection.
 const CROSSING_MAX: usize = 3;
-/// A workspace with fewer attempts says nothing of fairness.
+/// Minimum number of attempts of a workspace for the fairness check.
 const FAIR_ATTEMPTS_MIN: usize = 30;
-/// A small workspace is served at least this part of what the best is, in percent.
+/// Minimum answered ratio of the small workspace, as a percentage of the large workspace's ratio.
 const FAIR_PERCENT: usize = 50;
 /// The workspace whose key changes.
 const CHANGING: &str = "changing";
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The promise.
+    /// The guarantee.
     pub promise: &'static str,
-    /// What was seen, with ids and moments.
+    /// What was observed, with ids and times.
     pub what: String,
 }
 
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Tells whether load on the machine may have caused it.
+    /// Returns whether load on the machine may have caused the violation.
     pub fn is_timed(&self) -> bool {
         TIMED_PROMISES.contains(&self.promise)
     }
 }
 
-/// Returns every broken promise.
+/// Returns every violation in a history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     check_runs(history, &mut found);
@@ -129,8 +129,8 @@
     }
 }
 
-/// Whoever reaches a daemon gets an answer, unless the daemon or the link to it is struck; and an
-/// answer that has begun ends, unless a server is struck.
+/// Checks that each request that reaches an instance gets an answer, unless a fault affects the instance
+/// or the link to it, and that each started answer is completed, unless a fault affects a server.
 fn check_cuts(history: &History, found: &mut Vec<Violation>) {
     let mut crossings = Vec::new();
     for attempt in &history.attempts {
@@ -163,7 +163,7 @@
             _ => {}
         }
     }
-    // Requests that begin after a daemon has ended meet the proxy before it, not the daemon.
+    // Requests that begin after an instance has exited reach only the proxy in front of it.
     for exit in &history.exits {
         let own = crossings.iter().filter(|attempt| {
             attempt.daemon == exit.daemon
@@ -178,7 +178,7 @@
     }
 }
 
-/// A stream ends where its request's time is over, wherever it stands.
+/// Returns whether an attempt ran into its timeout, which cuts a stream at any point.
 fn is_time_over(history: &History, attempt: &Attempt) -> bool {
     let took_ms = attempt.ended_ms.saturating_sub(attempt.began_ms);
     took_ms + TIME_OVER_MARGIN_MS >= history.timeout_ms
@@ -223,8 +223,8 @@
     }
 }
 
-/// A daemon that was seen with a version takes no key which that version has taken away, and
-/// refuses none that all versions since have.
+/// Checks that an instance with a version in force accepts no key that the version revoked, and
+/// refuses no key that this version and all later ones contain.
 fn check_keys(history: &History, found: &mut Vec<Violation>) {
     for attempt in history
         .attempts
@@ -278,7 +278,7 @@
             .iter()
             .filter(|run| run.server == departure.server && run.began_ms > due_ms)
         {
-            // A daemon that lost the store may learn of it late.
+            // An instance that lost the store may learn of the departure late.
             let concerns = |target| {
                 !matches!(
                     target,
@@ -343,7 +343,7 @@
     if small_asked < FAIR_ATTEMPTS_MIN || large_asked < FAIR_ATTEMPTS_MIN {
         return;
     }
-    // Answered parts compared without dividing: small/asked < half of large/asked.
+    // Compares the answered ratios without a division: small/asked < half of large/asked.
     if small_served * large_asked * 100 < large_served * small_asked * FAIR_PERCENT {
         let what = format!(
             "small: {small_served} of {small_asked} answered, large: {large_served} of {large_asked}"
--- a/crates/reedsail_soak/src/daemon.rs
+++ b/crates/reedsail_soak/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemons: processes that are started, signalled, and started again.
+//! The instances: processes that are started, signalled and restarted.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,31 +19,31 @@
 use crate::process::Process;
 use crate::proxy::Proxy;
 
-/// How many lines a second a daemon logs in a soak, so that a failure can be traced.
+/// Log lines that an instance may write per second in a soak, so that a failure can be traced.
 const LOG_LINES_PER_S: u32 = 1_000;
 
-/// One daemon over all its lives.
+/// One instance, across its restarts.
 #[derive(Debug)]
 pub(crate) struct Daemon {
     number: usize,
     router: PathBuf,
     folder: PathBuf,
     seeds: Vec<SocketAddr>,
-    /// Before the callers' port.
+    /// Proxy in front of the callers' port.
     pub(crate) callers: Proxy,
-    /// Before the store.
+    /// Proxy in front of the store.
     pub(crate) store: Proxy,
     process: Mutex<Option<Process>>,
-    /// How often it was started.
+    /// Number of starts.
     lives: AtomicU64,
-    /// When it was last started, by the time of day.
+    /// Time of the last start, in Unix milliseconds.
     pub(crate) started_unix_ms: AtomicU64,
-    /// Its readiness page said so when it was last asked.
+    /// Whether the last request to its readiness page succeeded.
     pub(crate) is_ready: AtomicBool,
 }
 
 impl Daemon {
-    /// Starts a daemon.
+    /// Starts an instance and its proxies.
     pub(crate) async fn start(
         number: usize,
         router: PathBuf,
@@ -70,12 +70,12 @@
         Ok(daemon)
     }
 
-    /// Returns how often the daemon was started.
+    /// Returns how many times the instance was started.
     pub(crate) fn life(&self) -> u64 {
         self.lives.load(Ordering::Relaxed)
     }
 
-    /// Starts the process unless it runs; `true` if it was started.
+    /// Starts the process unless it runs. Returns whether it was started.
     pub(crate) fn revive(&self) -> anyhow::Result<bool> {
         let mut process = self.lock();
         if process.is_some() {
@@ -90,7 +90,7 @@
         Ok(true)
     }
 
-    /// Sends a signal to the process, if it runs and is still in the given life.
+    /// Sends a signal to the process if it runs and was not restarted since the given start.
     pub(crate) fn signal(&self, signal: Signal, life: u64) {
         let process = self.lock();
         if let Some(process) = process.as_ref()
@@ -100,28 +100,28 @@
         }
     }
 
-    /// Takes the process out, so that nobody else ends it.
+    /// Takes the process out, so that no other fault ends it.
     pub(crate) fn take(&self) -> Option<Process> {
         self.lock().take()
     }
 
-    /// Tells whether the process has ended though nobody ended it.
+    /// Returns whether the process exited without being stopped or killed by the soak.
     pub(crate) fn has_ended(&self) -> bool {
         self.lock().as_mut().is_some_and(Process::has_ended)
     }
 
-    /// Changes the settings on disk.
+    /// Writes changed settings to disk.
     pub(crate) fn change_settings(&self) -> anyhow::Result<()> {
         let life = self.life() as u32;
         self.write_settings(LOG_LINES_PER_S + life)
     }
 
-    /// Returns the resident memory in kilobytes.
+    /// Returns the resident memory in kilobytes, or zero if no process runs.
     pub(crate) fn resident_kb(&self) -> u64 {
         self.lock().as_ref().map_or(0, Process::resident_kb)
     }
 
-    /// Ends the daemon and its proxies.
+    /// Stops the instance and its proxies.
     pub(crate) async fn close(self) {
         let process = self.take();
         if let Some(process) = process {
--- a/crates/reedsail_soak/src/draw.rs
+++ b/crates/reedsail_soak/src/draw.rs
@@ -11,18 +11,18 @@
 use crate::LinkFault;
 use crate::Schedule;
 
-/// Nothing is disturbed before everything has started and served for a while.
+/// No fault begins before this time, so that all processes have started and served for a while.
 const CALM_AT_FIRST_MS: u64 = 2_000;
-/// Every fault ends so long before the end.
+/// Every fault ends at least this long before the end.
 const CALM_AT_LAST_MS: u64 = 8_000;
-/// For each series of faults there is so much time on average.
+/// Average time between two series of faults.
 const SERIES_EVERY_MS: u64 = 1_500;
-/// The most faults of one series.
+/// Maximum number of faults in one series.
 const SERIES_MOST: u64 = 4;
-/// The longest fault.
+/// Maximum duration of a fault.
 const FAULT_MOST_MS: u64 = 4_000;
 
-/// Draws a schedule; the same seed and sizes give the same one.
+/// Draws a schedule. The same seed, duration and number of instances give the same schedule.
 pub fn draw_schedule(seed: u64, for_ms: u64, daemons: Option<usize>) -> Schedule {
     let mut random = StdRng::seed_from_u64(seed);
     let mut schedule = Schedule {
@@ -43,7 +43,7 @@
     schedule
 }
 
-/// Draws faults of one kind that follow each other, on the same part or on one after the other.
+/// Draws consecutive faults of one kind, all on the same target or each on the next target.
 fn draw_series(random: &mut StdRng, schedule: &Schedule, last_ms: u64) -> Vec<Fault> {
     let count = random.random_range(1..=SERIES_MOST);
     let mut at_ms = random.random_range(CALM_AT_FIRST_MS..last_ms);
@@ -67,7 +67,7 @@
     faults
 }
 
-/// How many kinds [`draw_kind`] knows.
+/// Number of indices that [`draw_kind`] maps to a fault kind.
 const KINDS: u32 = 21;
 
 fn draw_kind(random: &mut StdRng, schedule: &Schedule, kind: u32, part: usize) -> FaultKind {
--- a/crates/reedsail_soak/src/fleet.rs
+++ b/crates/reedsail_soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All processes of a soak: store, backend servers and daemons.
+//! All processes of a soak: store, backend servers and instances.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,10 +29,10 @@
 use crate::process::Process;
 use crate::proxy::Proxy;
 
-/// How many requests a server says it works on at once.
+/// Number of concurrent requests that a server announces.
 const SLOTS: u32 = 8;
 
-/// The store's process and the way to command it.
+/// The store's process and its command input.
 #[derive(Debug)]
 pub(crate) struct Store {
     process: Process,
@@ -52,18 +52,18 @@
         })
     }
 
-    /// Gives a command; it is done before any later one.
+    /// Sends a command; commands are executed in order.
     pub(crate) async fn obey(&self, command: &StoreCommand) -> anyhow::Result<()> {
         let line = serde_json::to_string(command)? + "\n";
         let mut input = self.input.lock().await;
         input
             .write_all(line.as_bytes())
             .await
-            .context("the store is gone")
+            .context("cannot send a command: the store process has ended")
     }
 }
 
-/// One life of a backend server.
+/// One process of a backend server.
 #[derive(Debug)]
 pub(crate) struct ServerLife {
     pub(crate) id: String,
@@ -72,14 +72,14 @@
 }
 
 impl ServerLife {
-    /// Sets how the server answers; one that is gone does not care.
+    /// Sets or clears the server's answer fault; a server that has ended is ignored.
     pub(crate) async fn answer_with(&mut self, fault: Option<AnswerFault>) {
-        let line = serde_json::to_string(&fault).expect("a fault can be written") + "\n";
+        let line = serde_json::to_string(&fault).expect("an answer fault serializes to JSON") + "\n";
         let _ = self.input.write_all(line.as_bytes()).await;
     }
 }
 
-/// A backend server over all its lives, each of which has an id of its own.
+/// A backend server, across its restarts; each process has its own id.
 #[derive(Debug)]
 pub(crate) struct Server {
     number: usize,
@@ -92,7 +92,7 @@
 }
 
 impl Server {
-    /// Starts a process and announces it, unless one runs.
+    /// Starts and announces a process, unless one runs.
     pub(crate) async fn revive(&self, store: &Store) -> anyhow::Result<()> {
         let mut life = self.life.lock().await;
         if life.is_some() {
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Returns the record of a life.
+    /// Returns the record of a server process.
     pub(crate) fn spec(&self, id: &str, is_draining: bool) -> ServerSpec {
         ServerSpec {
             id: id.to_owned(),
@@ -135,7 +135,7 @@
 }
 
 impl Fleet {
-    /// Starts everything; each line of a server is sent to `lines`.
+    /// Starts all processes; each line that a server prints is sent to `lines`.
     pub(crate) async fn start(
         programs: &Programs,
         schedule: &Schedule,
@@ -176,7 +176,7 @@
         }))
     }
 
-    /// Returns how many processes run at most.
+    /// Returns the maximum number of processes.
     pub(crate) fn processes(&self) -> usize {
         1 + self.servers.len() + self.daemons.len()
     }
@@ -191,7 +191,7 @@
         sum_kb + self.daemons.iter().map(Daemon::resident_kb).sum::<u64>()
     }
 
-    /// Ends every process.
+    /// Stops every process.
     pub(crate) async fn close(self) {
         for daemon in self.daemons {
             daemon.close().await;
@@ -209,23 +209,26 @@
 
 type Standin = (Process, ChildStdin, Lines<BufReader<ChildStdout>>, SocketAddr);
 
-/// Starts a stand-in, whose first line is its address.
+/// Starts a stand-in and reads its address from its first line.
 async fn start_standin(command: &mut Command) -> anyhow::Result<Standin> {
     let mut process = Process::start(command, None)?;
     let child = process.child();
     let input = child.stdin.take().context("the stand-in has no input")?;
     let output = child.stdout.take().context("the stand-in has no output")?;
     let mut lines = BufReader::new(output).lines();
-    let first = lines.next_line().await?.context("the stand-in ended at once")?;
+    let first = lines
+        .next_line()
+        .await?
+        .context("the stand-in ended without printing its address")?;
     let address = first
         .parse()
-        .with_context(|| format!("`{first}` is no address"))?;
+        .with_context(|| format!("invalid address `{first}` from the stand-in"))?;
     Ok((process, input, lines, address))
 }
 
 async fn pass_lines(mut output: Lines<BufReader<ChildStdout>>, lines: UnboundedSender<ServerLine>) {
     while let Ok(Some(text)) = output.next_line().await {
-        // A line that was cut off by a kill belongs to a request that nobody got an answer to.
+        // A line truncated by a kill belongs to a request that got no answer.
         if let Ok(line) = serde_json::from_str(&text)
             && lines.send(line).is_err()
         {
--- a/crates/reedsail_soak/src/history.rs
+++ b/crates/reedsail_soak/src/history.rs
@@ -1,22 +1,22 @@
-//! What callers, servers and the soak itself saw; the checker knows nothing else.
+//! What callers, servers and the soak itself observed: the only input of the checker.
 //!
-//! Moments are milliseconds since the start of the soak, by one clock for all processes.
+//! Times are milliseconds since the start of the soak, by one clock for all processes.
 
 use std::collections::HashMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a caller asks for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CallKind {
     /// May run more than once.
     Lookup,
-    /// Runs once at most.
+    /// May run at most once.
     Order,
-    /// A stream that is not resumed.
+    /// A stream that cannot be resumed.
     Letter,
-    /// A stream that another server may go on with.
+    /// A stream that another server may resume.
     Chat,
 }
 
@@ -24,7 +24,7 @@
     /// Every kind.
     pub const ALL: [Self; 4] = [Self::Lookup, Self::Order, Self::Letter, Self::Chat];
 
-    /// Tells whether a request may run once at most.
+    /// Returns whether a request may run at most once.
     pub fn runs_once(self) -> bool {
         matches!(self, Self::Order | Self::Letter)
     }
@@ -33,28 +33,28 @@
 /// How an attempt ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// With the whole answer to this very request.
+    /// The complete answer to this request arrived.
     Answered,
-    /// With an answer of the daemon's own that says when to come back: it has not run.
+    /// The instance itself answered with a retry time: the request has not run.
     NotRun {
         /// The status.
         status: u16,
     },
-    /// With any other answer that is no success.
+    /// Any other unsuccessful answer arrived.
     Failed {
         /// The status.
         status: u16,
-        /// A backend server gave it.
+        /// Whether a backend server gave the answer.
         by_server: bool,
     },
-    /// With an answer that is not whole, or not this request's, and pretends to be.
+    /// A successful answer arrived that is incomplete or belongs to another request.
     Wrong(String),
-    /// The connection broke.
+    /// The connection was closed.
     Cut {
-        /// The answer had begun.
+        /// Whether the answer had begun.
         had_begun: bool,
     },
-    /// Nothing came within the caller's time.
+    /// No answer arrived within the caller's time limit.
     Silent,
 }
 
@@ -63,13 +63,13 @@
 pub struct Attempt {
     /// Its id, unique in the soak.
     pub id: String,
-    /// What was asked for.
+    /// The kind of the request.
     pub kind: CallKind,
     /// The workspace whose key was sent.
     pub workspace: String,
     /// The number of the key among those of its workspace.
     pub key: u64,
-    /// The daemon that the caller was connected to.
+    /// The instance that the caller was connected to.
     pub daemon: usize,
     /// When it began.
     pub began_ms: u64,
@@ -86,26 +86,26 @@
     pub id: String,
     /// The server.
     pub server: String,
-    /// The workspace that it was told.
+    /// The workspace that the router passed to the server.
     pub workspace: Option<String>,
-    /// It went on with a stream.
+    /// Whether the run resumed a stream.
     pub is_resumed: bool,
-    /// It was shown a key.
+    /// Whether the request to the server contained a key.
     pub saw_key: bool,
     /// When it began.
     pub began_ms: u64,
 }
 
-/// What a backend server said of itself in an answer.
+/// The status that a backend server reported in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoticeKind {
-    /// It drains.
+    /// The server is draining.
     Draining,
-    /// It turned the request away, and wants nothing for so many milliseconds.
+    /// The server rejected the request and asked for a back-off of the given milliseconds.
     Backoff(u64),
 }
 
-/// An answer in which a backend server said something of itself.
+/// An answer in which a backend server reported its status.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Notice {
     /// The id of the attempt.
@@ -114,42 +114,42 @@
     pub server: String,
     /// When it answered.
     pub at_ms: u64,
-    /// What it said.
+    /// The reported status.
     pub kind: NoticeKind,
 }
 
 /// A line that a backend server prints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ServerLine {
-    /// It runs a request.
+    /// The server runs a request.
     Run(Run),
-    /// It says something of itself.
+    /// The server reports its status.
     Notice(Notice),
 }
 
-/// What a fault strikes.
+/// The target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
-    /// A daemon: killed, paused, or starting again.
+    /// An instance: killed, paused, or restarting.
     Daemon(usize),
-    /// A daemon's planned stop, until it has started again.
+    /// An instance's planned stop, until it has restarted.
     Stop(usize),
-    /// The link between callers and a daemon.
+    /// The link between callers and an instance.
     CallersLink(usize),
-    /// The link between a daemon and the store.
+    /// The link between an instance and the store.
     StoreLink(usize),
     /// The store.
     Store,
     /// A backend server, or the link to it.
     Server(usize),
-    /// What a backend server says of itself; its answers are well.
+    /// The status that a backend server reports; its answers are correct.
     Notices(usize),
 }
 
-/// A fault from its begin until its traces are gone.
+/// The time from the start of a fault until it was undone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultSpan {
-    /// What it strikes.
+    /// The target.
     pub target: Target,
     /// When it began.
     pub from_ms: u64,
@@ -162,44 +162,44 @@
 pub struct VersionWrite {
     /// The version.
     pub version: u64,
-    /// When it had been handed to the store.
+    /// When its write to the store began.
     pub at_ms: u64,
-    /// The number of the one key that workspace `changing` has in it.
+    /// The number of the only key of workspace `changing` in this version.
     pub key: u64,
 }
 
-/// What a daemon was seen to have in force.
+/// The configuration version that a probe found in force on an instance.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Probe {
-    /// The daemon.
+    /// The instance.
     pub daemon: usize,
-    /// How often it had been started.
+    /// How many times the instance had been started.
     pub life: u64,
     /// When the probe was sent.
     pub began_ms: u64,
-    /// When its answer came.
+    /// When its answer arrived.
     pub ended_ms: u64,
     /// The version.
     pub version: u64,
 }
 
-/// A server whose leaving was written.
+/// A server whose departure was written to the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Departure {
     /// The server.
     pub server: String,
-    /// When it had been handed to the store.
+    /// When the command had been sent to the store.
     pub at_ms: u64,
 }
 
-/// The end of a daemon that was asked to stop.
+/// The exit of an instance that was asked to stop.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Exit {
-    /// The daemon.
+    /// The instance.
     pub daemon: usize,
     /// When it was started.
     pub started_ms: u64,
-    /// When it was asked.
+    /// When it was asked to stop.
     pub asked_ms: u64,
     /// When it had ended; `None` if it had to be killed.
     pub ended_ms: Option<u64>,
@@ -207,35 +207,35 @@
     pub code: Option<i32>,
 }
 
-/// Everything that was seen.
+/// Everything that was observed during a soak.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct History {
-    /// How long callers asked.
+    /// How long callers sent requests, in milliseconds.
     pub for_ms: u64,
-    /// How long a request may be held at most.
+    /// Maximum time that the router holds a request.
     pub timeout_ms: u64,
-    /// How many daemons there were.
+    /// Number of instances.
     pub daemons: usize,
-    /// The most servers that one attempt may go to.
+    /// Maximum number of servers that one attempt may be sent to.
     pub attempts_max: usize,
-    /// What callers saw.
+    /// The attempts of callers.
     pub attempts: Vec<Attempt>,
-    /// What servers saw.
+    /// The requests that servers ran.
     pub runs: Vec<Run>,
-    /// What servers said of themselves.
+    /// The statuses that servers reported.
     #[serde(default)]
     pub notices: Vec<Notice>,
-    /// What was done to the system.
+    /// The faults that were injected.
     pub faults: Vec<FaultSpan>,
-    /// What operators wrote.
+    /// The configuration versions that were written.
     pub writes: Vec<VersionWrite>,
-    /// What probes saw.
+    /// The results of probes.
     pub probes: Vec<Probe>,
-    /// Which servers left.
+    /// The servers that left.
     pub departures: Vec<Departure>,
-    /// How daemons ended that were asked to stop.
+    /// The exits of instances that were asked to stop.
     pub exits: Vec<Exit>,
-    /// Daemons that ended though nobody ended them.
+    /// Instances that exited without being stopped or killed.
     pub ended_by_themselves: Vec<usize>,
 }
 
@@ -249,7 +249,7 @@
         by_attempt
     }
 
-    /// Tells whether a fault on a target that is picked out overlaps a time.
+    /// Returns whether a fault on a target selected by `concerns` overlaps the given time range.
     pub fn is_disturbed(&self, from_ms: u64, until_ms: u64, concerns: impl Fn(Target) -> bool) -> bool {
         self.faults
             .iter()
--- a/crates/reedsail_soak/src/layout.rs
+++ b/crates/reedsail_soak/src/layout.rs
@@ -1,4 +1,4 @@
-//! Addresses, names and settings of a soak's parts.
+//! Addresses, names and settings of a soak's processes.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -10,28 +10,28 @@
 
 use crate::CallKind;
 
-/// How many failure domains the daemons and servers stand in.
+/// Number of failure domains of the instances and servers.
 const DOMAINS: usize = 3;
-/// How long the router holds a request at most.
+/// Maximum time that the router holds a request.
 pub(crate) const TIMEOUT_MS: u64 = 2_000;
-/// The goal of every route.
+/// Latency target of every route.
 const LATENCY_TARGET_MS: u64 = 800;
-/// The most servers that one attempt may go to.
+/// Maximum number of servers that one attempt may be sent to.
 pub(crate) const ATTEMPTS_MAX: u32 = 3;
-/// When a planned stop ends at the latest.
+/// Maximum duration of a planned stop.
 const STOP_MS: u64 = 6_000;
-/// The host that callers ask for.
+/// Host of the callers' requests.
 pub(crate) const HOST: &str = "soak.example";
-/// The host that probes ask for.
+/// Host of the probes' requests.
 pub(crate) const PROBE_HOST: &str = "probe.example";
 /// The workspace whose key changes.
 pub(crate) const CHANGING: &str = "changing";
-/// Answers streams.
+/// Service that answers streams.
 pub(crate) const ENGINES: &str = "engines";
-/// Answers everything else.
+/// Service that answers all other requests.
 pub(crate) const PLAIN: &str = "plain";
 
-/// The ports of one daemon, which it keeps over its lives.
+/// The addresses of one instance, kept across restarts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DaemonAddresses {
     pub(crate) callers: SocketAddr,
@@ -41,8 +41,8 @@
 }
 
 impl DaemonAddresses {
-    /// Returns the addresses of a daemon: a loopback address of its own, so that no other program
-    /// takes its ports between two lives.
+    /// Returns the addresses of an instance. It has its own loopback address, so that no other program
+    /// takes its ports during a restart.
     pub(crate) fn of(daemon: usize) -> Self {
         let soak = std::process::id();
         let address = Ipv4Addr::new(127, 64 + (soak >> 8) as u8 % 128, soak as u8, 1 + daemon as u8);
@@ -56,12 +56,12 @@
     }
 }
 
-/// Returns the failure domain of the daemon or server with a number.
+/// Returns the failure domain of the instance or server with the given number.
 pub(crate) fn domain(number: usize) -> String {
     format!("domain-{}", number % DOMAINS)
 }
 
-/// Returns a daemon's settings.
+/// Returns an instance's settings.
 pub(crate) fn settings(
     daemon: usize,
     store: SocketAddr,
@@ -88,7 +88,7 @@
     )
 }
 
-/// Returns the path that callers of a kind ask for.
+/// Returns the path of requests of the given kind.
 pub(crate) fn path(kind: CallKind) -> &'static str {
     match kind {
         CallKind::Lookup => "/lookup/",
@@ -98,17 +98,17 @@
     }
 }
 
-/// Returns the path that is routed in one version only.
+/// Returns the path that only the given version routes.
 pub(crate) fn probe_path(version: u64) -> String {
     format!("/version-{version}/")
 }
 
-/// Returns a key; no number stands for the one that never changes.
+/// Returns the key of a workspace with the given number; a key that never changes has number 0.
 pub(crate) fn key(workspace: &str, number: u64) -> String {
     format!("key-{workspace}-{number}")
 }
 
-/// Returns a version of the configuration, with the number of the key that changes.
+/// Returns a version of the configuration, with the given key number for workspace `changing`.
 pub(crate) fn configuration(version: u64, changing_key: u64) -> ConfigurationSpec {
     let mut routes: Vec<RouteSpec> = CallKind::ALL.into_iter().map(route).collect();
     routes.push(RouteSpec {
--- a/crates/reedsail_soak/src/lib.rs
+++ b/crates/reedsail_soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! The fault soak: runs the real router as processes on loopback, disturbs them from outside, and
-//! checks what callers and backend servers see; see docs/SOAK.md.
+//! The fault soak: runs the real router as processes on loopback, injects faults from outside, and
+//! checks what callers and backend servers observe; see docs/SOAK.md.
 
 mod caller;
 mod checker;
--- a/crates/reedsail_soak/src/notice_checks.rs
+++ b/crates/reedsail_soak/src/notice_checks.rs
@@ -1,4 +1,4 @@
-//! Checks that what servers say of themselves in their answers is heeded by the daemon that got the answer.
+//! Checks that an instance respects the status that a server reports in an answer to it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,18 +13,18 @@
 use crate::Violation;
 use crate::checker::AFTERMATH_MS;
 
-/// A request that began so long after an answer that says its server drains must not reach that server.
+/// A request that begins more than this time after an answer of a draining server must not reach that server.
 const DRAINING_WITHIN_MS: u64 = 2_000;
-/// Requests may arrive for so long after a server has asked for time: they were on their way.
+/// Requests may arrive for this time after a server has asked for a back-off: they were already in flight.
 const BACKOFF_WITHIN_MS: u64 = 500;
-/// The most requests that may arrive between then and the end of the time that a server asked for.
+/// Maximum number of requests that may arrive between then and the end of the back-off.
 const BACKOFF_ARRIVALS_MAX: usize = 2;
 
-/// What one daemon and one server had to do with each other.
+/// The requests and notices between one instance and one server.
 struct Exchange<'a> {
     daemon: usize,
     server: &'a str,
-    /// When each request arrived that was run or turned away.
+    /// Arrival times of the requests that were run or rejected with a back-off.
     arrivals_ms: Vec<u64>,
     runs: Vec<(&'a Run, &'a Attempt)>,
     notices: Vec<(&'a Notice, &'a Attempt)>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells whether the daemon was restarted or paused within a time, and may know nothing of before.
+    /// Returns whether the instance was restarted or paused in a time range, and may have lost earlier state.
     fn is_restarted(&self, history: &History, from_ms: u64, until_ms: u64) -> bool {
         history.is_disturbed(from_ms, until_ms, |target| {
             target == Target::Daemon(self.daemon) || target == Target::Stop(self.daemon)
@@ -61,7 +61,7 @@
     }
 
     fn check_draining(&self, history: &History, notice: &Notice, told: &Attempt) -> Option<Violation> {
-        // Only an answer that reached the caller is sure to have reached the daemon.
+        // Only an answer that reached the caller has certainly reached the instance.
         if told.outcome != Outcome::Answered {
             return None;
         }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Returns what each daemon and each server had to do with each other.
+/// Groups requests and notices by instance and server.
 fn exchanges(history: &History) -> Vec<Exchange<'_>> {
     let attempts = history.attempts.iter();
     let attempts: HashMap<&str, &Attempt> = attempts.map(|attempt| (attempt.id.as_str(), attempt)).collect();
--- a/crates/reedsail_soak/src/player.rs
+++ b/crates/reedsail_soak/src/player.rs
@@ -1,4 +1,4 @@
-//! Does to the fleet what a schedule says, and notes when.
+//! Injects the faults of a schedule into the fleet and records their times.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,16 +32,16 @@
 use crate::fleet::ServerLife;
 use crate::layout;
 
-/// A daemon that was asked to stop is killed after this time.
+/// An instance that was asked to stop is killed after this time.
 const STOP_LIMIT_MS: u64 = 12_000;
-/// How long a daemon takes after its start until it serves.
+/// Time from the start of an instance until it serves requests.
 const START_MS: u64 = 1_500;
-/// How long a server's record outlives a server that was killed.
+/// Time that the record of a killed server remains in the store.
 const LAPSE_MS: u64 = 1_000;
-/// How long a server that leaves finishes its requests.
+/// Time for a leaving server to finish its requests.
 const FINISH_MS: u64 = 3_000;
 
-/// What the player notes.
+/// What the player records.
 #[derive(Debug, Default)]
 pub(crate) struct Played {
     pub(crate) faults: Vec<FaultSpan>,
@@ -51,7 +51,7 @@
     pub(crate) counts: HashMap<&'static str, u64>,
 }
 
-/// What can be disturbed in one way at a time: a later fault replaces an earlier one.
+/// A place that has at most one active fault: a later fault replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Place {
     Link(Link),
@@ -59,7 +59,7 @@
     Store,
 }
 
-/// The newest fault of each place, by number, so that one that ends does not end a later one.
+/// The number of the newest fault of each place, so that the end of a fault does not end a later one.
 #[derive(Debug, Default)]
 struct Acting {
     newest: HashMap<Place, u64>,
@@ -74,7 +74,7 @@
     newest_version: Arc<AtomicU64>,
     played: Mutex<Played>,
     acting: Mutex<Acting>,
-    /// One version is written after the other.
+    /// Serializes writes of configuration versions.
     writing: tokio::sync::Mutex<()>,
 }
 
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Returns what was noted; called once all faults are over.
+    /// Returns the record; called after all faults have ended.
     pub(crate) fn take_played(&self) -> Played {
         std::mem::take(&mut *self.played())
     }
 
-    /// Waits for a fault's moment, and does it from its begin to its end.
+    /// Waits for a fault's start time, then runs the fault to its end.
     pub(crate) async fn play(&self, fault: Fault) -> anyhow::Result<()> {
         sleep(Duration::from_millis(fault.at_ms.saturating_sub(self.now_ms()))).await;
         *self.played().counts.entry(fault.kind.name()).or_default() += 1;
@@ -188,7 +188,8 @@
         self.end(span);
     }
 
-    /// A process that has just started does not know the signal yet, and would end by it.
+    /// Changes the settings and signals the instance to reload them. The signal would end a process that
+    /// has just started and has no handler yet, so this waits for [`START_MS`] first.
     async fn reload_daemon(&self, number: usize) -> anyhow::Result<()> {
         let daemon = &self.fleet.daemons[number];
         let life = daemon.life();
@@ -208,7 +209,7 @@
         let asked_ms = self.now_ms();
         let started_unix_ms = daemon.started_unix_ms.load(Ordering::Relaxed);
         process.signal(Signal::TERM);
-        // A pause that is under way ends here: its end no longer finds the process.
+        // Resumes a paused process: the end of the pause cannot signal it, since the process was taken out.
         process.signal(Signal::CONT);
         let code = process.wait(STOP_LIMIT_MS).await;
         self.played().exits.push(Exit {
@@ -257,7 +258,7 @@
         self.end(span);
     }
 
-    /// Signals a server, if it is still in the life that is meant; returns its id.
+    /// Signals a server if its id matches the given one, and returns its id; `None` matches any id.
     async fn signal_server(&self, server: &Server, signal: Signal, meant: Option<&str>) -> Option<String> {
         let life = server.life.lock().await;
         let life = life
@@ -282,10 +283,10 @@
         self.replace_server(number, life, for_ms / 4).await
     }
 
-    /// Drops the record of a server that has drained, ends it, and starts another one after a pause.
+    /// Drops the record of a drained server, stops it, and starts a new server after a pause.
     async fn replace_server(&self, number: usize, life: ServerLife, pause_ms: u64) -> anyhow::Result<()> {
         self.fleet.store.obey(&StoreCommand::Drop(life.id)).await?;
-        // Requests that were begun before it left are over by now, and newer ones are watched for.
+        // After this time, requests that began before the departure are over; the checker looks for newer ones.
         sleep(Duration::from_millis(FINISH_MS)).await;
         let span = self.begin(Target::Server(number));
         life.process.close().await;
@@ -295,7 +296,7 @@
         Ok(())
     }
 
-    /// Has a server say in its answers that it drains, while its record says that it takes work.
+    /// Makes a server report in its answers that it is draining, while its record says that it is not.
     async fn drain_by_answers(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let server = &self.fleet.servers[number];
         let Some(mut life) = server.life.lock().await.take() else {
@@ -317,7 +318,7 @@
         drop(life);
         self.fleet.store.obey(&StoreCommand::Drop(id.clone())).await?;
         sleep(Duration::from_millis(for_ms)).await;
-        // It may have been killed or have left meanwhile.
+        // The server may have been killed or have left in the meantime.
         let life = server.life.lock().await;
         if life.as_ref().is_some_and(|life| life.id == id) {
             let record = server.spec(&id, false);
@@ -361,7 +362,7 @@
         Ok(())
     }
 
-    /// Has the store come back from a copy, and what it lost written again later.
+    /// Restores the store from an older copy, and later writes the lost records again.
     async fn take_store_back(&self, records: usize, for_ms: u64) -> anyhow::Result<()> {
         let span = self.begin(Target::Store);
         self.fleet.store.obey(&StoreCommand::GoBack(records)).await?;
@@ -377,7 +378,7 @@
         let version = self.newest_version.load(Ordering::Relaxed) + 1;
         let key = self.callers.newest_key.load(Ordering::Relaxed) + u64::from(with_new_key);
         let configuration = layout::configuration(version, key);
-        // Noted first: a daemon may have it in force before the call returns.
+        // Recorded first: an instance may have the version in force before the call returns.
         self.played().writes.push(VersionWrite {
             version,
             at_ms: self.now_ms(),
@@ -411,7 +412,7 @@
         self.callers.clock.now_ms()
     }
 
-    /// Notes a fault as the newest of its place, and returns its number.
+    /// Records a fault as the newest of its place, and returns its number.
     fn begin_at(&self, place: Place) -> u64 {
         let mut acting = self.acting();
         acting.number += 1;
--- a/crates/reedsail_soak/src/prober.rs
+++ b/crates/reedsail_soak/src/prober.rs
@@ -1,4 +1,4 @@
-//! Asks each daemon again and again whether it is ready, and which version it has in force.
+//! Periodically probes each instance's readiness and the configuration version that it has in force.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 use crate::layout::PROBE_HOST;
 use crate::soak_clock::SoakClock;
 
-/// How long passes between two probes of a daemon.
+/// Interval between two probes of an instance.
 const EVERY_MS: u64 = 200;
-/// How long an answer may take.
+/// Timeout of a probe request.
 const ANSWER_MS: u64 = 700;
 
-/// Probes one daemon until it is dropped.
+/// Probes one instance until the task is dropped.
 pub(crate) async fn run_prober(
     fleet: Arc<Fleet>,
     daemon: usize,
@@ -66,18 +66,18 @@
             ended_ms: clock.now_ms(),
             version,
         };
-        // Nobody listens once the soak has ended.
+        // The receiver is dropped when the soak has ended.
         let _ = probes.send(probe);
     }
 }
 
-/// Finds the one version whose path is routed: the one known, a newer one, then an older one.
+/// Finds the version whose path is routed: tries the known version, then newer ones, then older ones.
 async fn find_version(callers: SocketAddr, known: u64, newest: u64) -> Option<u64> {
     for version in (known..=newest).chain(1..known) {
         let status = get(callers, PROBE_HOST, &layout::probe_path(version)).await?;
         match status {
             StatusCode::NOT_FOUND => {}
-            // The daemon does not know yet, or has nobody to ask.
+            // The instance has no configuration yet, or no server is available.
             StatusCode::SERVICE_UNAVAILABLE => return None,
             _ => return Some(version),
         }
@@ -85,7 +85,7 @@
     None
 }
 
-/// Asks on a connection of its own; `None` if there is no answer in time.
+/// Sends a request on a new connection; returns `None` if no answer arrives in time.
 async fn get(address: SocketAddr, host: &str, path: &str) -> Option<StatusCode> {
     let asking = async {
         let opening = HttpConnection::open(address, ANSWER_MS, ByteCounter::default());
--- a/crates/reedsail_soak/src/process.rs
+++ b/crates/reedsail_soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes, ended by their ids and by nothing else.
+//! Child processes, signalled only by their process ids.
 
 use std::fs::File;
 use std::path::Path;
@@ -13,14 +13,14 @@
 use tokio::process::Command;
 use tokio::time::timeout;
 
-/// A process that this soak started; it is killed when dropped.
+/// A process started by this soak; it is killed when dropped.
 #[derive(Debug)]
 pub(crate) struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a program whose standard output goes to a file, or to a pipe where there is none.
+    /// Starts a program whose standard output goes to `output`, or to a pipe if `output` is `None`.
     pub(crate) fn start(command: &mut Command, output: Option<&Path>) -> anyhow::Result<Self> {
         let stdout = match output {
             Some(path) => Stdio::from(open_log(path)?),
@@ -35,38 +35,40 @@
         Ok(Self { child })
     }
 
-    /// Returns the process for reading its output or writing to it.
+    /// Returns the child, for access to its standard input and output.
     pub(crate) fn child(&mut self) -> &mut Child {
         &mut self.child
     }
 
-    /// Sends a signal; one that has ended already gets none.
+    /// Sends a signal, unless the process has already ended.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = self.child.id().and_then(|id| Pid::from_raw(id as i32));
         if let Some(id) = id {
-            // It may end between the two lines.
+            // The process may end after its id was read.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Waits for the end; `None` if it does not come in time.
+    /// Waits for the process to exit, and returns its exit code; the inner `None` means ended by a signal.
+    ///
+    /// Returns `None` if the process does not exit in time.
     pub(crate) async fn wait(&mut self, limit_ms: u64) -> Option<Option<i32>> {
         let waited = timeout(Duration::from_millis(limit_ms), self.child.wait()).await;
         waited.ok()?.ok().map(|status| status.code())
     }
 
-    /// Tells whether the process has ended by itself.
+    /// Returns whether the process has exited.
     pub(crate) fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for it to exit.
     pub(crate) async fn close(mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill().await;
     }
 
-    /// Returns its resident memory in kilobytes; zero once it has ended.
+    /// Returns the resident memory in kilobytes, or zero after the process has ended.
     pub(crate) fn resident_kb(&self) -> u64 {
         let id = self.child.id().unwrap_or(0);
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
@@ -79,7 +81,7 @@
     }
 }
 
-/// Opens a log for adding to it, since a daemon that starts again goes on with its file.
+/// Opens a log for appending, since a restarted instance continues its file.
 fn open_log(path: &Path) -> anyhow::Result<File> {
     File::options()
         .create(true)
--- a/crates/reedsail_soak/src/proxy.rs
+++ b/crates/reedsail_soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before a link, which disturbs what passes.
+//! A loopback proxy that injects faults into a link.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 
 use crate::LinkFault;
 
-/// The largest piece that is passed on at once.
+/// Maximum size of a forwarded chunk.
 const PIECE_BYTES: usize = 16 << 10;
 
-/// What a proxy does at present.
+/// The current state of a proxy.
 #[derive(Clone, Copy, Debug)]
 struct LinkState {
-    /// Where connections go on to; `None` refuses them.
+    /// Address that connections are forwarded to; `None` refuses them.
     upstream: Option<SocketAddr>,
     fault: Option<LinkFault>,
 }
@@ -57,7 +57,7 @@
         Ok(Self { address, state, task })
     }
 
-    /// Sends new connections somewhere else.
+    /// Sets the address that new connections are forwarded to.
     pub(crate) fn set_upstream(&self, upstream: Option<SocketAddr>) {
         self.state.send_modify(|state| state.upstream = upstream);
     }
@@ -67,7 +67,7 @@
         self.state.send_modify(|state| state.fault = fault);
     }
 
-    /// Stops the proxy; open connections end with their ends.
+    /// Stops accepting connections; open connections last until an end closes them.
     pub(crate) fn close(self) {
         self.task.abort();
     }
@@ -87,7 +87,7 @@
         reset(&client);
         return;
     };
-    // Small pieces must not wait for each other; one that cannot be set so is only slower.
+    // Disables Nagle's algorithm, so that small chunks are not delayed; if this fails, they are only slower.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (client, server) = (Arc::new(client), Arc::new(server));
     let broken = wait_for_reset(state.clone());
@@ -113,9 +113,9 @@
         .await;
 }
 
-/// Makes the connection end with a reset once it is dropped.
+/// Makes the connection send a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // One that cannot be reset is closed.
+    // If this fails, the connection is closed without a reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -125,17 +125,17 @@
     to: Arc<TcpStream>,
     direction: Direction,
     state: watch::Receiver<LinkState>,
-    /// A piece was lost; no later one may pass, since a connection never loses bytes in the middle.
+    /// Whether a chunk was lost; no later chunk may pass, since a connection never loses bytes in the middle.
     has_lost: bool,
 }
 
-/// What becomes of a piece.
+/// What happens to a chunk.
 enum Passing {
-    /// It is passed on.
+    /// The chunk is forwarded.
     Whole,
-    /// It is lost, and the connection stays.
+    /// The chunk is dropped, and the connection stays open.
     Lost,
-    /// Half of it is passed on, and the connection ends.
+    /// Half of the chunk is forwarded, and the connection is closed.
     CutOff,
 }
 
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Passes pieces on until an end closes, then closes the other one.
+    /// Forwards chunks until one end closes, then closes the other end.
     async fn run(mut self) {
         let mut piece = vec![0; PIECE_BYTES];
         while let Some(length) = read(&self.from, &mut piece).await {
@@ -167,7 +167,7 @@
                 }
                 Passing::Lost => self.has_lost = true,
                 Passing::CutOff => {
-                    // The other end sees the cut whether or not this part arrives.
+                    // The other end sees the truncation whether or not this part arrives.
                     let _ = write_all(&self.to, &piece[..length / 2]).await;
                     shut(&self.from);
                     break;
@@ -177,7 +177,7 @@
         shut(&self.to);
     }
 
-    /// Waits as long as the fault says, and tells what becomes of the piece.
+    /// Waits for the duration of a delay or silence, then returns what happens to the chunk.
     async fn judge(&mut self) -> Passing {
         if self.has_lost {
             return Passing::Lost;
@@ -205,7 +205,7 @@
     }
 }
 
-/// Reads a piece; `None` at the end.
+/// Reads a chunk; returns `None` at the end of the stream or on an error.
 async fn read(stream: &TcpStream, piece: &mut [u8]) -> Option<usize> {
     loop {
         stream.readable().await.ok()?;
@@ -230,7 +230,7 @@
     Some(())
 }
 
-/// Closes the way out of a connection; one that is closed already stays so.
+/// Shuts down both directions of a connection; has no effect if it is already closed.
 fn shut(stream: &TcpStream) {
     let _ = SockRef::from(stream).shutdown(std::net::Shutdown::Both);
 }
--- a/crates/reedsail_soak/src/report.rs
+++ b/crates/reedsail_soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a soak found.
+//! The report of a soak.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,32 +9,32 @@
 use crate::Outcome;
 use crate::Violation;
 
-/// How many violations the terminal shows.
+/// Maximum number of violations shown on the terminal.
 const VIOLATIONS_SHOWN: usize = 10;
 
-/// What a soak found.
+/// The result of a soak.
 #[derive(Clone, Debug, Serialize)]
 pub struct SoakReport {
     /// The seed of the schedule.
     pub seed: u64,
-    /// How long callers asked.
+    /// How long callers sent requests, in milliseconds.
     pub for_ms: u64,
-    /// How many processes ran beside the soak's own.
+    /// Number of processes besides the soak's own.
     pub processes: usize,
-    /// The most memory that they held at once.
+    /// Peak of the memory of all these processes together.
     pub peak_memory_mb: u64,
-    /// How many faults were injected, by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// How many attempts ended how.
+    /// Number of attempts by outcome.
     pub outcomes: BTreeMap<String, u64>,
-    /// How many requests reached backend servers.
+    /// Number of requests that backend servers ran.
     pub runs: usize,
-    /// The promises that were broken.
+    /// The violations of the guarantees.
     pub violations: Vec<Violation>,
 }
 
 impl SoakReport {
-    /// Tells whether every promise was kept.
+    /// Returns whether there is no violation.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
@@ -52,7 +52,7 @@
                 .collect();
             parts.join(", ")
         };
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "attempts: {}", joined(&self.outcomes));
         let _ = writeln!(text, "faults: {}", joined(&self.faults));
         let _ = writeln!(text, "promises broken: {}", self.violations.len());
@@ -63,7 +63,7 @@
     }
 }
 
-/// Counts attempts by how they ended.
+/// Counts attempts by outcome.
 pub(crate) fn count_outcomes(history: &History) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for attempt in &history.attempts {
--- a/crates/reedsail_soak/src/schedule.rs
+++ b/crates/reedsail_soak/src/schedule.rs
@@ -1,103 +1,103 @@
-//! What a soak does, moment by moment; kept as JSON so that it can be played again.
+//! The faults of a soak and their times; stored as JSON so that a soak can be replayed.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A connection on which a loopback proxy sits.
+/// A connection that passes through a loopback proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Link {
-    /// Between callers and a daemon.
+    /// Between callers and an instance.
     Callers(usize),
-    /// Between a daemon and the store.
+    /// Between an instance and the store.
     Store(usize),
-    /// Between daemons and a backend server.
+    /// Between instances and a backend server.
     Server(usize),
 }
 
 /// What a proxy does to a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkFault {
-    /// Every piece comes later, by so many milliseconds.
+    /// Each chunk is delayed by the given milliseconds.
     Delay(u64),
-    /// Open connections are reset, and so are new ones.
+    /// Open and new connections are reset.
     Reset,
     /// What the client sends is lost.
     LoseRequests,
     /// What the server sends is lost.
     LoseAnswers,
-    /// Nothing comes through until the fault ends.
+    /// No data passes until the fault ends.
     Silence,
-    /// The next answers are cut off in the middle.
+    /// The next answers are truncated in the middle, and their connections are closed.
     CutTails,
 }
 
 /// How a backend server answers while it is faulty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerFault {
-    /// With an error, after it ran the request.
+    /// Responds with an error after running the request.
     Error,
-    /// Late, by so many milliseconds.
+    /// Delays the answer by the given milliseconds.
     Slow(u64),
-    /// Never.
+    /// Never answers.
     Hang,
-    /// With less than it announced.
+    /// Sends fewer bytes than announced.
     Short,
-    /// With the answer to another request.
+    /// Marks the answer with the id of another request.
     WrongId,
-    /// That it did not run the request.
+    /// Reports that it did not run the request.
     NotRun,
-    /// That it did not run the request, and wants nothing for so many milliseconds.
+    /// Reports that it did not run the request and asks for a back-off of the given milliseconds.
     Busy(u64),
-    /// As it should, and that it drains.
+    /// Answers correctly and reports that it is draining.
     Draining,
-    /// By breaking the connection in the middle.
+    /// Closes the connection in the middle of the answer.
     Break,
 }
 
-/// Something that is done to the system.
+/// A kind of fault or operator action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FaultKind {
-    /// A proxy disturbs a link.
+    /// A proxy injects a fault into a link.
     Link(Link, LinkFault),
-    /// A daemon is killed, and started again at the fault's end.
+    /// An instance is killed, and restarted at the fault's end.
     KillDaemon(usize),
-    /// A daemon is paused until the fault's end.
+    /// An instance is paused until the fault's end.
     FreezeDaemon(usize),
-    /// A daemon is asked to stop, and started again at the fault's end.
+    /// An instance is asked to stop, and restarted at the fault's end.
     StopDaemon(usize),
-    /// A daemon reads changed settings.
+    /// An instance reloads changed settings.
     ReloadDaemon(usize),
-    /// A server is killed; its record lapses, and another one comes at the fault's end.
+    /// A server is killed; its record expires, and a new server starts at the fault's end.
     KillServer(usize),
     /// A server is paused until the fault's end.
     FreezeServer(usize),
-    /// A server leaves in an orderly way, and another one comes at the fault's end.
+    /// A server leaves gracefully, and a new server starts at the fault's end.
     RetireServer(usize),
-    /// A server drains and says so in its answers alone, until its record goes with it at the fault's end.
+    /// A server drains and reports it only in its answers, until its record is removed at the fault's end.
     DrainByAnswers(usize),
-    /// A server's record is gone until the fault's end, though it serves.
+    /// A server's record is missing until the fault's end, although the server serves requests.
     HideServer(usize),
-    /// A server answers wrongly.
+    /// A server's answers are faulty.
     ServerAnswers(usize, AnswerFault),
     /// The store refuses every call.
     StoreRefuses,
-    /// The store answers late, by so many milliseconds.
+    /// The store delays its answers by the given milliseconds.
     StoreSlow(u64),
-    /// Every so manyth answer of the store is lost.
+    /// Every nth answer of the store is lost.
     StoreLoses(u64),
-    /// The store forgets all but the newest records.
+    /// The store drops all but the newest records.
     StoreForgets,
-    /// The store comes back from a copy that lacks so many of the last records of each topic, which are written again
-    /// at the fault's end.
+    /// The store is restored from a copy that lacks the given number of last records of each topic; they are
+    /// written again at the fault's end.
     StoreGoesBack(usize),
-    /// The operators write a new version of the configuration.
+    /// A new version of the configuration is written.
     Configure,
-    /// The operators take a key away and give another one.
+    /// A key is revoked and replaced by a new one.
     ReplaceKey,
 }
 
 impl FaultKind {
-    /// Returns the name under which reports count it.
+    /// Returns the name under which reports count the fault.
     pub fn name(self) -> &'static str {
         match self {
             Self::Link(_, LinkFault::Delay(_)) => "link delayed",
@@ -131,36 +131,36 @@
 /// One fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins, in milliseconds from the start.
+    /// Start time, in milliseconds since the start of the soak.
     pub at_ms: u64,
-    /// How long it lasts.
+    /// Duration in milliseconds.
     pub for_ms: u64,
-    /// What is done.
+    /// Kind of fault.
     pub kind: FaultKind,
 }
 
-/// A whole soak.
+/// The schedule of a soak.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// What it was drawn from.
+    /// Random seed of the schedule.
     pub seed: u64,
-    /// How long callers ask, in milliseconds.
+    /// How long callers send requests, in milliseconds.
     pub for_ms: u64,
-    /// How many daemons run.
+    /// Number of instances.
     pub daemons: usize,
-    /// How many backend servers answer streams.
+    /// Number of backend servers that answer streams.
     pub engines: usize,
-    /// How many backend servers answer plain requests.
+    /// Number of backend servers that answer plain requests.
     pub plain_servers: usize,
-    /// The faults, by their begin.
+    /// The faults, sorted by start time.
     pub faults: Vec<Fault>,
-    /// Why a kept schedule once failed; empty for a fresh one.
+    /// Why a stored schedule failed; empty for a newly drawn one.
     #[serde(default)]
     pub cause: String,
 }
 
 impl Schedule {
-    /// Returns how many backend servers run.
+    /// Returns the number of backend servers.
     pub fn servers(&self) -> usize {
         self.engines + self.plain_servers
     }
--- a/crates/reedsail_soak/src/server.rs
+++ b/crates/reedsail_soak/src/server.rs
@@ -1,12 +1,12 @@
-//! What a backend server's answer to a request has to be.
+//! The expected answers of a backend server.
 
 use hyper::StatusCode;
 
-/// Names the server that gave an answer; the daemon's own answers have none.
+/// Header that names the server of an answer; an instance's own answers don't have it.
 pub(crate) const SERVED_BY: &str = "soak-served-by";
-/// The answer of a server that was not meant.
+/// Status of a server that receives a request for another server.
 pub(crate) const MISDIRECTED: StatusCode = StatusCode::MISDIRECTED_REQUEST;
-/// How many events a stream has.
+/// Number of events of a stream.
 pub(crate) const EVENTS: u32 = 10;
 
 /// Returns the answer to a plain request.
@@ -19,7 +19,7 @@
     format!("id: {number}\ndata: part {number} for {request_id}\n\n")
 }
 
-/// Returns a whole stream.
+/// Returns a complete stream.
 pub(crate) fn stream_answer(request_id: &str) -> String {
     (1..=EVENTS).map(|number| event(request_id, number)).collect()
 }
--- a/crates/reedsail_soak/src/server_program.rs
+++ b/crates/reedsail_soak/src/server_program.rs
@@ -1,5 +1,5 @@
-//! A backend server as a process of its own: prints its address, then a line for each request that
-//! it runs, and obeys the lines that it reads.
+//! A backend server as a separate process: prints its address, then a line for each request that
+//! it runs and each notice that it sends, and reads its answer faults from standard input.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -46,16 +46,16 @@
 use crate::server::event;
 use crate::server::plain_answer;
 
-/// How many requests run at once; others wait.
+/// Number of requests that run at once; others wait.
 const SLOTS: usize = 8;
-/// How long a plain request runs.
+/// Run time of a plain request.
 const PLAIN_MS: u64 = 10;
-/// How long a prompt is read before the first event.
+/// Prefill time before the first event.
 const READ_MS: u64 = 30;
-/// How long a stream pauses between two events.
+/// Time between two events of a stream.
 const EVENT_PAUSE_MS: u64 = 15;
 
-/// What a server is, and how it answers at present.
+/// A server and its current answer fault.
 #[derive(Debug)]
 struct Server {
     id: String,
@@ -67,7 +67,7 @@
 /// Runs a server until its input ends.
 ///
 /// # Errors
-/// The system's, or a line that is no fault.
+/// Returns an error if the server cannot listen, the input cannot be read, or a line is not a fault.
 pub async fn run_server(id: String, streams: bool) -> anyhow::Result<()> {
     let server = Arc::new(Server {
         id,
@@ -82,14 +82,14 @@
     let mut lines = BufReader::new(stdin()).lines();
     while let Some(line) = lines.next_line().await? {
         let fault: Option<AnswerFault> =
-            serde_json::from_str(&line).with_context(|| format!("`{line}` is no fault"))?;
+            serde_json::from_str(&line).with_context(|| format!("invalid answer fault `{line}`"))?;
         *server.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
     http.close();
     Ok(())
 }
 
-/// Answers for a server.
+/// Handles HTTP requests for a server.
 #[derive(Clone, Debug)]
 struct ServerHandler(Arc<Server>);
 
@@ -190,7 +190,7 @@
         response
     }
 
-    /// Names the server in its answer, so that callers know the daemon's own answers.
+    /// Names the server in its answer, so that callers can tell it from an instance's own answers.
     fn sign(&self, response: &mut Response<Body>) {
         if let Ok(id) = HeaderValue::from_str(&self.id) {
             response.headers_mut().insert(SERVED_BY, id);
@@ -221,7 +221,10 @@
 }
 
 fn print_line(line: &ServerLine) {
-    println!("{}", serde_json::to_string(line).expect("a line can be written"));
+    println!(
+        "{}",
+        serde_json::to_string(line).expect("a server line serializes to JSON")
+    );
 }
 
 async fn send_events(
--- a/crates/reedsail_soak/src/soak.rs
+++ b/crates/reedsail_soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! Plays one schedule from the start of all processes to the report.
+//! Runs one schedule, from the start of all processes to the report.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -32,14 +32,14 @@
 use crate::report::count_outcomes;
 use crate::soak_clock::SoakClock;
 
-/// How long the processes have before callers begin.
+/// Time for the processes to start before callers begin.
 const SETTLE_MS: u64 = 1_500;
-/// How long callers have for their last attempt.
+/// Time for callers to finish their last attempt.
 const LAST_ATTEMPT_MS: u64 = 4_000;
-/// How often memory is looked at.
+/// Interval between two memory samples.
 const MEMORY_EVERY_MS: u64 = 500;
 
-/// Which callers ask: how many, of which workspace, and how often.
+/// The callers: their number, workspace and pause.
 const CALLERS: [(u64, CallerProfile); 3] = [
     (
         16,
@@ -64,7 +64,7 @@
     ),
 ];
 
-/// The programs that a soak starts.
+/// Paths of the programs that a soak starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The router.
@@ -73,25 +73,27 @@
     pub standins: PathBuf,
 }
 
-/// Plays a schedule. `is_untimed` leaves out what load on the machine can break. A run that breaks a promise leaves its schedule, its history and the daemons'
-/// logs in `keep`, in a folder named after the seed.
+/// Runs a schedule.
+///
+/// `is_untimed` ignores violations that load on the machine can cause. A run with violations stores its
+/// schedule, its history and the instances' logs in `keep`, in a folder named after the seed.
 ///
 /// # Errors
-/// The system's, when processes cannot be started or files not be written.
+/// Returns an error if a process cannot be started or a file cannot be written.
 pub async fn run_soak(
     programs: &Programs,
     schedule: &Schedule,
     is_untimed: bool,
     keep: Option<&Path>,
 ) -> anyhow::Result<SoakReport> {
-    let folder = tempfile::tempdir().context("cannot make a folder for logs")?;
+    let folder = tempfile::tempdir().context("cannot create a temporary folder for logs")?;
     let (lines_in, lines) = unbounded_channel();
     let fleet = Fleet::start(programs, schedule, folder.path(), lines_in).await?;
     sleep(Duration::from_millis(SETTLE_MS)).await;
     let seen = play(&fleet, schedule).await?;
     let (history, figures) = seen.into_history(schedule, lines);
     let processes = fleet.processes();
-    let fleet = Arc::into_inner(fleet).context("a task still uses the processes")?;
+    let fleet = Arc::into_inner(fleet).context("cannot stop the fleet: a task still uses it")?;
     fleet.close().await;
     let mut violations = check(&history);
     violations.retain(|violation| !is_untimed || !violation.is_timed());
@@ -117,7 +119,7 @@
     Ok(report)
 }
 
-/// What was seen while a schedule was played.
+/// What was observed while a schedule ran.
 struct Seen {
     attempts: UnboundedReceiver<Attempt>,
     probes: UnboundedReceiver<Probe>,
@@ -127,7 +129,7 @@
     peak_memory_kb: u64,
 }
 
-/// What a report needs beside the history.
+/// Figures of the report that are not in the history.
 struct Figures {
     faults: BTreeMap<String, u64>,
     peak_memory_kb: u64,
@@ -207,7 +209,7 @@
     let mut callers = start_callers(&shared, schedule.seed);
     play_faults(&player, schedule).await?;
     let last_attempts = Duration::from_millis(schedule.for_ms + LAST_ATTEMPT_MS);
-    // Callers end by themselves; one that does not is dropped, and its attempt with it.
+    // Callers stop by themselves; a caller that does not is dropped together with its attempt.
     let _ = tokio::time::timeout(last_attempts, async {
         while callers.join_next().await.is_some() {}
     })
@@ -257,7 +259,7 @@
     }
 }
 
-/// Writes what is needed to trace a failure and to play it again.
+/// Writes the files needed to trace and replay a failure.
 fn keep_run(
     target: &Path,
     logs: &Path,
--- a/crates/reedsail_soak/src/store_program.rs
+++ b/crates/reedsail_soak/src/store_program.rs
@@ -1,4 +1,5 @@
-//! The store as a process of its own: prints its address, then obeys the lines that it reads.
+//! The store as a separate process: prints its address, then executes the commands that it reads from
+//! standard input.
 
 use anyhow::Context as _;
 use reedsail_platform_standin::StoreCommand;
@@ -10,7 +11,7 @@
 /// Runs a store until its input ends.
 ///
 /// # Errors
-/// The system's, or a line that is no command.
+/// Returns an error if the store cannot start, the input cannot be read, or a line is not a command.
 pub async fn run_store() -> anyhow::Result<()> {
     let store = StoreStandin::start().await.context("cannot start the store")?;
     store.enable_long_polling();
@@ -18,7 +19,7 @@
     let mut lines = BufReader::new(stdin()).lines();
     while let Some(line) = lines.next_line().await? {
         let command: StoreCommand =
-            serde_json::from_str(&line).with_context(|| format!("`{line}` is no command"))?;
+            serde_json::from_str(&line).with_context(|| format!("invalid store command `{line}`"))?;
         store.apply(&command);
     }
     Ok(())
--- a/crates/reedsail_soak/tests/checker.rs
+++ b/crates/reedsail_soak/tests/checker.rs
@@ -1,4 +1,4 @@
-//! A violation of each promise is found, and a clean history has none.
+//! The checker finds a violation of each guarantee, and none in a clean history.
 
 use reedsail_soak::Attempt;
 use reedsail_soak::CallKind;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Returns the promises that a history breaks.
+/// Returns the names of the guarantees that a history violates.
 fn broken(history: &History) -> Vec<&'static str> {
     check(history)
         .into_iter()
@@ -79,7 +79,7 @@
         .collect()
 }
 
-/// Returns `count` attempts of a workspace, all with one outcome.
+/// Returns `count` attempts of a workspace, all with the same outcome.
 fn many(workspace: &str, count: usize, began_ms: u64, outcome: &Outcome) -> Vec<Attempt> {
     (0..count)
         .map(|number| Attempt {
@@ -184,7 +184,7 @@
             .attempts
             .push(attempt("a", CallKind::Lookup, outcome.clone()));
         assert_eq!(broken(&history), [promise]);
-        // Another daemon's trouble excuses nothing, and neither does a server's.
+        // A fault of another instance or of a server excuses nothing.
         history.faults = vec![
             fault(Target::Daemon(1), 9_000, 11_000),
             fault(Target::Server(0), 9_000, 11_000),
@@ -374,7 +374,7 @@
     }
 }
 
-/// Adds a request that a server runs, so many milliseconds after ten seconds.
+/// Adds a request that a server runs, which begins `after_ms` after ten seconds.
 fn add_run(history: &mut History, id: &str, daemon: usize, after_ms: u64) {
     let began_ms = 10_000 + after_ms;
     let added = Attempt {
--- a/crates/reedsail_soak/tests/schedule.rs
+++ b/crates/reedsail_soak/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules: the same for a seed, within their time, and the same after they were kept.
+//! A seed always draws the same schedule, its faults stay within its time, and storing does not change it.
 
 use proptest::prelude::ProptestConfig;
 use proptest::proptest;
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the daemon and the server that a fault strikes.
+/// Returns the instance and the server that a fault targets.
 fn parts(kind: FaultKind) -> (usize, usize) {
     match kind {
         FaultKind::Link(Link::Callers(daemon) | Link::Store(daemon), _)
