--- a/crates/reedsail_soak/src/caller.rs
+++ b/crates/reedsail_soak/src/caller.rs
@@ -71,7 +71,7 @@
 
 struct Connection {
     http: HttpConnection,
-    daemon: usize,
+    instance: usize,
 }
 
 /// Sends requests until the end of the soak.
@@ -97,19 +97,19 @@
 
 /// Connects to a random ready instance, or to any instance if none is ready.
 async fn connect(shared: &CallerShared, random: &mut StdRng) -> Option<Connection> {
-    let daemons = &shared.fleet.daemons;
-    let ready: Vec<usize> = (0..daemons.len())
-        .filter(|daemon| daemons[*daemon].is_ready.load(Ordering::Relaxed))
+    let instances = &shared.fleet.instances;
+    let ready: Vec<usize> = (0..instances.len())
+        .filter(|instance| instances[*instance].is_ready.load(Ordering::Relaxed))
         .collect();
-    let daemon = match ready.len() {
-        0 => random.random_range(0..daemons.len()),
+    let instance = match ready.len() {
+        0 => random.random_range(0..instances.len()),
         count => ready[random.random_range(0..count)],
     };
-    let address = daemons[daemon].callers.address;
+    let address = instances[instance].callers.address;
     let http = HttpConnection::open(address, CONNECT_MS, ByteCounter::default()).await;
     Some(Connection {
         http: http.ok()?,
-        daemon,
+        instance,
     })
 }
 
@@ -136,7 +136,7 @@
         kind,
         workspace: profile.workspace.to_owned(),
         key,
-        daemon: connection.daemon,
+        daemon: connection.instance,
         began_ms,
         ended_ms: shared.clock.now_ms(),
         outcome,
--- a/crates/reedsail_soak/src/checker.rs
+++ b/crates/reedsail_soak/src/checker.rs
@@ -136,14 +136,15 @@
     for attempt in &history.attempts {
         let until_ms = attempt.ended_ms;
         let from_ms = attempt.began_ms.saturating_sub(AFTERMATH_MS);
-        let daemon = attempt.daemon;
-        let by_own_side = |target| target == Target::Daemon(daemon) || target == Target::CallersLink(daemon);
+        let instance = attempt.daemon;
+        let by_own_side =
+            |target| target == Target::Daemon(instance) || target == Target::CallersLink(instance);
         if history.is_disturbed(from_ms, until_ms, by_own_side) {
             continue;
         }
         let by_server = |target| matches!(target, Target::Server(_));
         let is_stopping = history.is_disturbed(attempt.began_ms, until_ms, |target| {
-            target == Target::Stop(daemon)
+            target == Target::Stop(instance)
         });
         match attempt.outcome {
             Outcome::Cut { had_begun: true } if is_time_over(history, attempt) => {}
@@ -185,17 +186,17 @@
 }
 
 fn check_versions(history: &History, found: &mut Vec<Violation>) {
-    for daemon in 0..history.daemons {
+    for instance in 0..history.daemons {
         let probes: Vec<&Probe> = history
             .probes
             .iter()
-            .filter(|probe| probe.daemon == daemon)
+            .filter(|probe| probe.daemon == instance)
             .collect();
         for pair in probes.windows(2) {
             let (before, after) = (pair[0], pair[1]);
             if before.life == after.life && after.version < before.version {
                 let what = format!(
-                    "daemon {daemon} showed {} at {} ms, {} before",
+                    "instance {instance} showed {} at {} ms, {} before",
                     after.version, after.ended_ms, before.version
                 );
                 found.push(Violation::new("configuration never backwards", what));
@@ -207,14 +208,14 @@
                 continue;
             };
             let concerns = |target| match target {
-                Target::Daemon(struck) | Target::Stop(struck) | Target::StoreLink(struck) => struck == daemon,
+                Target::Daemon(index) | Target::Stop(index) | Target::StoreLink(index) => index == instance,
                 Target::Store => true,
                 Target::CallersLink(_) | Target::Server(_) | Target::Notices(_) => false,
             };
             let from_ms = write.at_ms.saturating_sub(AFTERMATH_MS);
             if probe.version < write.version && !history.is_disturbed(from_ms, probe.ended_ms, concerns) {
                 let what = format!(
-                    "daemon {daemon} showed {} at {} ms; {} was written at {} ms",
+                    "instance {instance} showed {} at {} ms; {} was written at {} ms",
                     probe.version, probe.ended_ms, write.version, write.at_ms
                 );
                 found.push(Violation::new("configuration in force in time", what));
@@ -298,8 +299,8 @@
 }
 
 fn check_exits(history: &History, found: &mut Vec<Violation>) {
-    for daemon in &history.ended_by_themselves {
-        let what = format!("daemon {daemon} is gone at the end");
+    for instance in &history.ended_by_themselves {
+        let what = format!("instance {instance} is gone at the end");
         found.push(Violation::new("a daemon ends only when it is told to", what));
     }
     for exit in &history.exits {
@@ -317,7 +318,7 @@
         let is_late = ended_ms.saturating_sub(exit.asked_ms) > STOP_WITHIN_MS;
         if is_late || exit.code != Some(0) {
             let what = format!(
-                "daemon {} was asked at {} ms, ended at {:?}, code {:?}",
+                "instance {} was asked at {} ms, ended at {:?}, code {:?}",
                 exit.daemon, exit.asked_ms, exit.ended_ms, exit.code
             );
             found.push(Violation::new("a planned stop ends well and in time", what));
@@ -376,7 +377,7 @@
 
 fn shown(attempt: &Attempt) -> String {
     format!(
-        "{} ({:?}, workspace {}, daemon {}, {} to {} ms: {:?})",
+        "{} ({:?}, workspace {}, instance {}, {} to {} ms: {:?})",
         attempt.id,
         attempt.kind,
         attempt.workspace,
--- a/crates/reedsail_soak/src/draw.rs
+++ b/crates/reedsail_soak/src/draw.rs
@@ -23,12 +23,12 @@
 const FAULT_MOST_MS: u64 = 4_000;
 
 /// Draws a schedule. The same seed, duration and number of instances give the same schedule.
-pub fn draw_schedule(seed: u64, for_ms: u64, daemons: Option<usize>) -> Schedule {
+pub fn draw_schedule(seed: u64, for_ms: u64, instances: Option<usize>) -> Schedule {
     let mut random = StdRng::seed_from_u64(seed);
     let mut schedule = Schedule {
         seed,
         for_ms,
-        daemons: daemons.unwrap_or_else(|| random.random_range(3..=5)),
+        daemons: instances.unwrap_or_else(|| random.random_range(3..=5)),
         engines: random.random_range(3..=4),
         plain_servers: 2,
         faults: Vec::new(),
@@ -71,14 +71,14 @@
 const KINDS: u32 = 21;
 
 fn draw_kind(random: &mut StdRng, schedule: &Schedule, kind: u32, part: usize) -> FaultKind {
-    let daemon = part % schedule.daemons;
+    let instance = part % schedule.daemons;
     let server = part % schedule.servers();
     match kind {
-        0..3 => FaultKind::Link(draw_link(random, daemon, server), draw_link_fault(random)),
-        3 => FaultKind::KillDaemon(daemon),
-        4 => FaultKind::FreezeDaemon(daemon),
-        5 | 6 => FaultKind::StopDaemon(daemon),
-        7 => FaultKind::ReloadDaemon(daemon),
+        0..3 => FaultKind::Link(draw_link(random, instance, server), draw_link_fault(random)),
+        3 => FaultKind::KillDaemon(instance),
+        4 => FaultKind::FreezeDaemon(instance),
+        5 | 6 => FaultKind::StopDaemon(instance),
+        7 => FaultKind::ReloadDaemon(instance),
         8 => FaultKind::KillServer(server),
         9 => FaultKind::FreezeServer(server),
         10 => FaultKind::RetireServer(server),
@@ -95,10 +95,10 @@
     }
 }
 
-fn draw_link(random: &mut StdRng, daemon: usize, server: usize) -> Link {
+fn draw_link(random: &mut StdRng, instance: usize, server: usize) -> Link {
     match random.random_range(0..3) {
-        0 => Link::Callers(daemon),
-        1 => Link::Store(daemon),
+        0 => Link::Callers(instance),
+        1 => Link::Store(instance),
         _ => Link::Server(server),
     }
 }
--- a/crates/reedsail_soak/src/fleet.rs
+++ b/crates/reedsail_soak/src/fleet.rs
@@ -24,7 +24,7 @@
 use crate::Programs;
 use crate::Schedule;
 use crate::ServerLine;
-use crate::daemon::Daemon;
+use crate::instance::Instance;
 use crate::layout;
 use crate::process::Process;
 use crate::proxy::Proxy;
@@ -131,7 +131,7 @@
 pub(crate) struct Fleet {
     pub(crate) store: Store,
     pub(crate) servers: Vec<Server>,
-    pub(crate) daemons: Vec<Daemon>,
+    pub(crate) instances: Vec<Instance>,
 }
 
 impl Fleet {
@@ -163,22 +163,22 @@
             server.revive(&store).await?;
             servers.push(server);
         }
-        let mut daemons = Vec::new();
+        let mut instances = Vec::new();
         for number in 0..schedule.daemons {
             let router = programs.router.clone();
             let folder = folder.to_owned();
-            daemons.push(Daemon::start(number, router, folder, store.address, schedule.daemons).await?);
+            instances.push(Instance::start(number, router, folder, store.address, schedule.daemons).await?);
         }
         Ok(Arc::new(Self {
             store,
             servers,
-            daemons,
+            instances,
         }))
     }
 
     /// Returns the maximum number of processes.
     pub(crate) fn processes(&self) -> usize {
-        1 + self.servers.len() + self.daemons.len()
+        1 + self.servers.len() + self.instances.len()
     }
 
     /// Returns the resident memory of all processes in kilobytes.
@@ -188,13 +188,13 @@
             let life = server.life.lock().await;
             sum_kb += life.as_ref().map_or(0, |life| life.process.resident_kb());
         }
-        sum_kb + self.daemons.iter().map(Daemon::resident_kb).sum::<u64>()
+        sum_kb + self.instances.iter().map(Instance::resident_kb).sum::<u64>()
     }
 
     /// Stops every process.
     pub(crate) async fn close(self) {
-        for daemon in self.daemons {
-            daemon.close().await;
+        for instance in self.instances {
+            instance.close().await;
         }
         for server in self.servers {
             let life = server.life.lock().await.take();
--- a/crates/reedsail_soak/src/daemon.rs
+++ b/crates/reedsail_soak/src/instance.rs
@@ -15,7 +15,7 @@
 use tokio::process::Command;
 
 use crate::layout;
-use crate::layout::DaemonAddresses;
+use crate::layout::InstanceAddresses;
 use crate::process::Process;
 use crate::proxy::Proxy;
 
@@ -24,7 +24,7 @@
 
 /// One instance, across its restarts.
 #[derive(Debug)]
-pub(crate) struct Daemon {
+pub(crate) struct Instance {
     number: usize,
     router: PathBuf,
     folder: PathBuf,
@@ -42,18 +42,20 @@
     pub(crate) is_ready: AtomicBool,
 }
 
-impl Daemon {
+impl Instance {
     /// Starts an instance and its proxies.
     pub(crate) async fn start(
         number: usize,
         router: PathBuf,
         folder: PathBuf,
         store: SocketAddr,
-        daemons: usize,
+        instances: usize,
     ) -> anyhow::Result<Self> {
-        let addresses = DaemonAddresses::of(number);
-        let seeds = (0..daemons).map(|seed| DaemonAddresses::of(seed).peers).collect();
-        let daemon = Self {
+        let addresses = InstanceAddresses::of(number);
+        let seeds = (0..instances)
+            .map(|seed| InstanceAddresses::of(seed).peers)
+            .collect();
+        let instance = Self {
             number,
             router,
             folder,
@@ -65,9 +67,9 @@
             started_unix_ms: AtomicU64::new(0),
             is_ready: AtomicBool::new(false),
         };
-        daemon.write_settings(LOG_LINES_PER_S)?;
-        daemon.revive()?;
-        Ok(daemon)
+        instance.write_settings(LOG_LINES_PER_S)?;
+        instance.revive()?;
+        Ok(instance)
     }
 
     /// Returns how many times the instance was started.
--- a/crates/reedsail_soak/src/layout.rs
+++ b/crates/reedsail_soak/src/layout.rs
@@ -33,19 +33,19 @@
 
 /// The addresses of one instance, kept across restarts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct DaemonAddresses {
+pub(crate) struct InstanceAddresses {
     pub(crate) callers: SocketAddr,
     pub(crate) readiness: SocketAddr,
     pub(crate) admin: SocketAddr,
     pub(crate) peers: SocketAddr,
 }
 
-impl DaemonAddresses {
+impl InstanceAddresses {
     /// Returns the addresses of an instance. It has its own loopback address, so that no other program
     /// takes its ports during a restart.
-    pub(crate) fn of(daemon: usize) -> Self {
+    pub(crate) fn of(instance: usize) -> Self {
         let soak = std::process::id();
-        let address = Ipv4Addr::new(127, 64 + (soak >> 8) as u8 % 128, soak as u8, 1 + daemon as u8);
+        let address = Ipv4Addr::new(127, 64 + (soak >> 8) as u8 % 128, soak as u8, 1 + instance as u8);
         let at = |port| SocketAddr::new(IpAddr::V4(address), port);
         Self {
             callers: at(7_300),
@@ -63,15 +63,15 @@
 
 /// Returns an instance's settings.
 pub(crate) fn settings(
-    daemon: usize,
+    instance: usize,
     store: SocketAddr,
     seeds: &[SocketAddr],
     log_lines_per_s: u32,
 ) -> String {
-    let addresses = DaemonAddresses::of(daemon);
+    let addresses = InstanceAddresses::of(instance);
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     format!(
-        "instance: daemon-{daemon}\n\
+        "instance: daemon-{instance}\n\
          failure_domain: {}\n\
          listen:\n  callers: {}\n  readiness: {}\n  admin: {}\n  peers: {}\n\
          readiness_path: /ready\n\
@@ -79,7 +79,7 @@
          seeds: [{}]\n\
          log_lines_per_s: {log_lines_per_s}\n\
          stop:\n  accept_ms: 2000\n  end_ms: {STOP_MS}\n",
-        domain(daemon),
+        domain(instance),
         addresses.callers,
         addresses.readiness,
         addresses.admin,
--- a/crates/reedsail_soak/src/lib.rs
+++ b/crates/reedsail_soak/src/lib.rs
@@ -3,10 +3,10 @@
 
 mod caller;
 mod checker;
-mod daemon;
 mod draw;
 mod fleet;
 mod history;
+mod instance;
 mod layout;
 mod notice_checks;
 mod player;
--- a/crates/reedsail_soak/src/notice_checks.rs
+++ b/crates/reedsail_soak/src/notice_checks.rs
@@ -22,7 +22,7 @@
 
 /// The requests and notices between one instance and one server.
 struct Exchange<'a> {
-    daemon: usize,
+    instance: usize,
     server: &'a str,
     /// Arrival times of the requests that were run or rejected with a back-off.
     arrivals_ms: Vec<u64>,
@@ -43,9 +43,9 @@
 }
 
 impl<'a> Exchange<'a> {
-    fn new(server: &'a str, daemon: usize) -> Self {
+    fn new(server: &'a str, instance: usize) -> Self {
         Self {
-            daemon,
+            instance,
             server,
             arrivals_ms: Vec::new(),
             runs: Vec::new(),
@@ -56,7 +56,7 @@
     /// Returns whether the instance was restarted or paused in a time range, and may have lost earlier state.
     fn is_restarted(&self, history: &History, from_ms: u64, until_ms: u64) -> bool {
         history.is_disturbed(from_ms, until_ms, |target| {
-            target == Target::Daemon(self.daemon) || target == Target::Stop(self.daemon)
+            target == Target::Daemon(self.instance) || target == Target::Stop(self.instance)
         })
     }
 
@@ -71,8 +71,8 @@
         };
         let (run, _) = self.runs.iter().find(|(run, attempt)| is_late(run, attempt))?;
         let what = format!(
-            "{} reached {} from daemon {} at {} ms; its answer at {} ms said that it drains",
-            run.id, self.server, self.daemon, run.began_ms, told.ended_ms
+            "{} reached {} from instance {} at {} ms; its answer at {} ms said that it drains",
+            run.id, self.server, self.instance, run.began_ms, told.ended_ms
         );
         Some(Violation::new("nothing for a server that said it drains", what))
     }
@@ -91,8 +91,8 @@
             return None;
         }
         let what = format!(
-            "{} asked daemon {} at {} ms for {backoff_ms} ms, and got {arrivals} requests",
-            self.server, self.daemon, notice.at_ms
+            "{} asked instance {} at {} ms for {backoff_ms} ms, and got {arrivals} requests",
+            self.server, self.instance, notice.at_ms
         );
         Some(Violation::new("time for a server that asked for it", what))
     }
@@ -125,9 +125,9 @@
 fn exchange_of<'e, 'a>(
     exchanges: &'e mut BTreeMap<(&'a str, usize), Exchange<'a>>,
     server: &'a str,
-    daemon: usize,
+    instance: usize,
 ) -> &'e mut Exchange<'a> {
     exchanges
-        .entry((server, daemon))
-        .or_insert_with(|| Exchange::new(server, daemon))
+        .entry((server, instance))
+        .or_insert_with(|| Exchange::new(server, instance))
 }
--- a/crates/reedsail_soak/src/player.rs
+++ b/crates/reedsail_soak/src/player.rs
@@ -26,10 +26,10 @@
 use crate::Target;
 use crate::VersionWrite;
 use crate::caller::CallerShared;
-use crate::daemon::Daemon;
 use crate::fleet::Fleet;
 use crate::fleet::Server;
 use crate::fleet::ServerLife;
+use crate::instance::Instance;
 use crate::layout;
 
 /// An instance that was asked to stop is killed after this time.
@@ -109,10 +109,10 @@
         *self.played().counts.entry(fault.kind.name()).or_default() += 1;
         match fault.kind {
             FaultKind::Link(link, what) => self.disturb_link(link, what, fault.for_ms).await,
-            FaultKind::KillDaemon(daemon) => self.kill_daemon(daemon, fault.for_ms).await?,
-            FaultKind::FreezeDaemon(daemon) => self.freeze_daemon(daemon, fault.for_ms).await,
-            FaultKind::StopDaemon(daemon) => self.stop_daemon(daemon, fault.for_ms).await?,
-            FaultKind::ReloadDaemon(daemon) => self.reload_daemon(daemon).await?,
+            FaultKind::KillDaemon(instance) => self.kill_instance(instance, fault.for_ms).await?,
+            FaultKind::FreezeDaemon(instance) => self.freeze_instance(instance, fault.for_ms).await,
+            FaultKind::StopDaemon(instance) => self.stop_instance(instance, fault.for_ms).await?,
+            FaultKind::ReloadDaemon(instance) => self.reload_instance(instance).await?,
             FaultKind::KillServer(server) => self.kill_server(server, fault.for_ms).await?,
             FaultKind::FreezeServer(server) => self.freeze_server(server, fault.for_ms).await,
             FaultKind::RetireServer(server) => self.retire_server(server, fault.for_ms).await?,
@@ -151,8 +151,11 @@
 
     async fn disturb_link(&self, link: Link, what: LinkFault, for_ms: u64) {
         let (proxy, target) = match link {
-            Link::Callers(daemon) => (&self.fleet.daemons[daemon].callers, Target::CallersLink(daemon)),
-            Link::Store(daemon) => (&self.fleet.daemons[daemon].store, Target::StoreLink(daemon)),
+            Link::Callers(instance) => (
+                &self.fleet.instances[instance].callers,
+                Target::CallersLink(instance),
+            ),
+            Link::Store(instance) => (&self.fleet.instances[instance].store, Target::StoreLink(instance)),
             Link::Server(server) => (&self.fleet.servers[server].proxy, Target::Server(server)),
         };
         let span = self.begin(target);
@@ -165,49 +168,49 @@
         self.end(span);
     }
 
-    async fn kill_daemon(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
-        let daemon = &self.fleet.daemons[number];
-        let Some(process) = daemon.take() else {
+    async fn kill_instance(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
+        let instance = &self.fleet.instances[number];
+        let Some(process) = instance.take() else {
             return Ok(());
         };
         let span = self.begin(Target::Daemon(number));
         process.close().await;
         sleep(Duration::from_millis(for_ms)).await;
-        self.revive(daemon).await?;
+        self.revive(instance).await?;
         self.end(span);
         Ok(())
     }
 
-    async fn freeze_daemon(&self, number: usize, for_ms: u64) {
-        let daemon = &self.fleet.daemons[number];
-        let life = daemon.life();
+    async fn freeze_instance(&self, number: usize, for_ms: u64) {
+        let instance = &self.fleet.instances[number];
+        let life = instance.life();
         let span = self.begin(Target::Daemon(number));
-        daemon.signal(Signal::STOP, life);
+        instance.signal(Signal::STOP, life);
         sleep(Duration::from_millis(for_ms)).await;
-        daemon.signal(Signal::CONT, life);
+        instance.signal(Signal::CONT, life);
         self.end(span);
     }
 
     /// Changes the settings and signals the instance to reload them. The signal would end a process that
     /// has just started and has no handler yet, so this waits for [`START_MS`] first.
-    async fn reload_daemon(&self, number: usize) -> anyhow::Result<()> {
-        let daemon = &self.fleet.daemons[number];
-        let life = daemon.life();
-        let age_ms = Clock::unix_ms().saturating_sub(daemon.started_unix_ms.load(Ordering::Relaxed));
+    async fn reload_instance(&self, number: usize) -> anyhow::Result<()> {
+        let instance = &self.fleet.instances[number];
+        let life = instance.life();
+        let age_ms = Clock::unix_ms().saturating_sub(instance.started_unix_ms.load(Ordering::Relaxed));
         sleep(Duration::from_millis(START_MS.saturating_sub(age_ms))).await;
-        daemon.change_settings()?;
-        daemon.signal(Signal::HUP, life);
+        instance.change_settings()?;
+        instance.signal(Signal::HUP, life);
         Ok(())
     }
 
-    async fn stop_daemon(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
-        let daemon = &self.fleet.daemons[number];
-        let Some(mut process) = daemon.take() else {
+    async fn stop_instance(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
+        let instance = &self.fleet.instances[number];
+        let Some(mut process) = instance.take() else {
             return Ok(());
         };
         let span = self.begin(Target::Stop(number));
         let asked_ms = self.now_ms();
-        let started_unix_ms = daemon.started_unix_ms.load(Ordering::Relaxed);
+        let started_unix_ms = instance.started_unix_ms.load(Ordering::Relaxed);
         process.signal(Signal::TERM);
         // Resumes a paused process: the end of the pause cannot signal it, since the process was taken out.
         process.signal(Signal::CONT);
@@ -221,13 +224,13 @@
         });
         process.close().await;
         sleep(Duration::from_millis(for_ms / 4)).await;
-        self.revive(daemon).await?;
+        self.revive(instance).await?;
         self.end(span);
         Ok(())
     }
 
-    async fn revive(&self, daemon: &Daemon) -> anyhow::Result<()> {
-        if daemon.revive()? {
+    async fn revive(&self, instance: &Instance) -> anyhow::Result<()> {
+        if instance.revive()? {
             sleep(Duration::from_millis(START_MS)).await;
         }
         Ok(())
--- a/crates/reedsail_soak/src/prober.rs
+++ b/crates/reedsail_soak/src/prober.rs
@@ -22,7 +22,7 @@
 use crate::Probe;
 use crate::fleet::Fleet;
 use crate::layout;
-use crate::layout::DaemonAddresses;
+use crate::layout::InstanceAddresses;
 use crate::layout::PROBE_HOST;
 use crate::soak_clock::SoakClock;
 
@@ -34,16 +34,16 @@
 /// Probes one instance until the task is dropped.
 pub(crate) async fn run_prober(
     fleet: Arc<Fleet>,
-    daemon: usize,
+    instance: usize,
     newest_version: Arc<AtomicU64>,
     clock: SoakClock,
     probes: UnboundedSender<Probe>,
 ) {
-    let addresses = DaemonAddresses::of(daemon);
+    let addresses = InstanceAddresses::of(instance);
     let mut known = (0, 0);
     loop {
         sleep(Duration::from_millis(EVERY_MS)).await;
-        let state = &fleet.daemons[daemon];
+        let state = &fleet.instances[instance];
         let status = get(addresses.readiness, "localhost", "/ready").await;
         state
             .is_ready
@@ -60,7 +60,7 @@
         };
         known.1 = version;
         let probe = Probe {
-            daemon,
+            daemon: instance,
             life,
             began_ms,
             ended_ms: clock.now_ms(),
--- a/crates/reedsail_soak/src/soak.rs
+++ b/crates/reedsail_soak/src/soak.rs
@@ -199,10 +199,10 @@
         Arc::clone(&newest_version),
     ));
     let mut watchers = JoinSet::new();
-    for daemon in 0..schedule.daemons {
+    for instance in 0..schedule.daemons {
         let versions = Arc::clone(&newest_version);
         let probes = probes_in.clone();
-        watchers.spawn(run_prober(Arc::clone(fleet), daemon, versions, clock, probes));
+        watchers.spawn(run_prober(Arc::clone(fleet), instance, versions, clock, probes));
     }
     let peak_memory_kb = Arc::new(AtomicU64::new(0));
     watchers.spawn(watch_memory(Arc::clone(fleet), Arc::clone(&peak_memory_kb)));
@@ -221,7 +221,7 @@
         probes,
         played: player.take_played(),
         ended_by_themselves: (0..schedule.daemons)
-            .filter(|daemon| fleet.daemons[*daemon].has_ended())
+            .filter(|instance| fleet.instances[*instance].has_ended())
             .collect(),
         clock,
         peak_memory_kb: peak_memory_kb.load(Ordering::Relaxed),
--- a/crates/reedsail_soak/tests/checker.rs
+++ b/crates/reedsail_soak/tests/checker.rs
@@ -375,10 +375,10 @@
 }
 
 /// Adds a request that a server runs, which begins `after_ms` after ten seconds.
-fn add_run(history: &mut History, id: &str, daemon: usize, after_ms: u64) {
+fn add_run(history: &mut History, id: &str, instance: usize, after_ms: u64) {
     let began_ms = 10_000 + after_ms;
     let added = Attempt {
-        daemon,
+        daemon: instance,
         began_ms,
         ended_ms: began_ms + 50,
         ..attempt(id, CallKind::Lookup, Outcome::Answered)
--- a/crates/reedsail_soak/tests/schedule.rs
+++ b/crates/reedsail_soak/tests/schedule.rs
@@ -17,8 +17,8 @@
         assert!(!schedule.faults.is_empty());
         for fault in &schedule.faults {
             assert!(fault.at_ms + fault.for_ms <= schedule.for_ms - 8_000, "{fault:?}");
-            let (daemon, server) = parts(fault.kind);
-            assert!(daemon < schedule.daemons && server < schedule.servers(), "{fault:?}");
+            let (instance, server) = parts(fault.kind);
+            assert!(instance < schedule.daemons && server < schedule.servers(), "{fault:?}");
         }
     }
 }
@@ -26,11 +26,11 @@
 /// Returns the instance and the server that a fault targets.
 fn parts(kind: FaultKind) -> (usize, usize) {
     match kind {
-        FaultKind::Link(Link::Callers(daemon) | Link::Store(daemon), _)
-        | FaultKind::KillDaemon(daemon)
-        | FaultKind::FreezeDaemon(daemon)
-        | FaultKind::StopDaemon(daemon)
-        | FaultKind::ReloadDaemon(daemon) => (daemon, 0),
+        FaultKind::Link(Link::Callers(instance) | Link::Store(instance), _)
+        | FaultKind::KillDaemon(instance)
+        | FaultKind::FreezeDaemon(instance)
+        | FaultKind::StopDaemon(instance)
+        | FaultKind::ReloadDaemon(instance) => (instance, 0),
         FaultKind::Link(Link::Server(server), _)
         | FaultKind::KillServer(server)
         | FaultKind::FreezeServer(server)
