--- a/crates/reedsail_soak/src/caller.rs
+++ b/crates/reedsail_soak/src/caller.rs
@@ -29,7 +29,7 @@
 use crate::Outcome;
 use crate::fleet::Fleet;
 use crate::layout;
-use crate::layout::CHANGING;
+use crate::layout::CHANGING_WORKSPACE;
 use crate::layout::HOST as SOAK_HOST;
 use crate::server::SERVED_BY;
 use crate::server::plain_answer;
@@ -41,11 +41,11 @@
 /// Time after the deadline at which a caller without an answer gives up.
 const GRACE_MS: u64 = 1_500;
 /// Connect timeout.
-const CONNECT_MS: u64 = 500;
+const CONNECT_TIMEOUT_MS: u64 = 500;
 /// Delay before a caller reconnects.
-const RECONNECT_MS: u64 = 50;
+const RECONNECT_DELAY_MS: u64 = 50;
 /// Number of different shared prompt prefixes.
-const PROMPTS: u64 = 12;
+const PROMPT_COUNT: u64 = 12;
 /// Tokens of a prompt's shared prefix and of its own part.
 const PROMPT_TOKENS: (u32, u32) = (2_000, 300);
 
@@ -86,7 +86,7 @@
             connection = connect(&shared, &mut random).await;
         }
         let Some(open) = connection.take() else {
-            sleep(Duration::from_millis(RECONNECT_MS)).await;
+            sleep(Duration::from_millis(RECONNECT_DELAY_MS)).await;
             continue;
         };
         count += 1;
@@ -106,7 +106,7 @@
         count => ready[random.random_range(0..count)],
     };
     let address = instances[instance].callers.address;
-    let http = HttpConnection::open(address, CONNECT_MS, ByteCounter::default()).await;
+    let http = HttpConnection::open(address, CONNECT_TIMEOUT_MS, ByteCounter::default()).await;
     Some(Connection {
         http: http.ok()?,
         instance,
@@ -129,8 +129,8 @@
     let request = build_request(&id, kind, &layout::key(profile.workspace, key), random);
     let began_ms = shared.clock.now_ms();
     let limit = Duration::from_millis(DEADLINE_MS + GRACE_MS);
-    let asking = ask(&mut connection.http, request, &id, kind);
-    let (outcome, stays_open) = timeout(limit, asking).await.unwrap_or((Outcome::Silent, false));
+    let exchange = send_request(&mut connection.http, request, &id, kind);
+    let (outcome, is_reusable) = timeout(limit, exchange).await.unwrap_or((Outcome::Silent, false));
     let attempt = Attempt {
         id,
         kind,
@@ -143,12 +143,12 @@
     };
     // The receiver is dropped when the soak has ended.
     let _ = shared.attempts.send(attempt);
-    stays_open.then_some(connection)
+    is_reusable.then_some(connection)
 }
 
 /// Returns the newest key of the caller's workspace, or sometimes the previous one.
 fn choose_key(shared: &CallerShared, profile: CallerProfile, random: &mut StdRng) -> u64 {
-    if profile.workspace != CHANGING {
+    if profile.workspace != CHANGING_WORKSPACE {
         return 0;
     }
     let newest = shared.newest_key.load(Ordering::Relaxed);
@@ -162,7 +162,7 @@
 fn build_request(id: &str, kind: CallKind, key: &str, random: &mut StdRng) -> Request<Full<Bytes>> {
     let has_prompt = matches!(kind, CallKind::Letter | CallKind::Chat);
     let (shared_tokens, own_tokens) = PROMPT_TOKENS;
-    let prompt = random.random_range(0..PROMPTS);
+    let prompt = random.random_range(0..PROMPT_COUNT);
     let head = CallerHead {
         request_id: id,
         deadline_ms: DEADLINE_MS,
@@ -178,7 +178,7 @@
 }
 
 /// Sends a request; returns its outcome and whether the connection stays open.
-async fn ask(
+async fn send_request(
     http: &mut HttpConnection,
     request: Request<Full<Bytes>>,
     id: &str,
@@ -187,24 +187,24 @@
     let Ok(response) = http.send(request).await else {
         return (Outcome::Cut { had_begun: false }, false);
     };
-    let closes = response
+    let is_closing = response
         .headers()
         .get(CONNECTION)
         .is_some_and(|value| value.as_bytes() == b"close");
-    let outcome = judge(response, id, kind).await;
-    let stays_open = !closes && !matches!(outcome, Outcome::Cut { .. });
-    (outcome, stays_open)
+    let outcome = read_outcome(response, id, kind).await;
+    let is_reusable = !is_closing && !matches!(outcome, Outcome::Cut { .. });
+    (outcome, is_reusable)
 }
 
-async fn judge(response: Response<Incoming>, id: &str, kind: CallKind) -> Outcome {
+async fn read_outcome(response: Response<Incoming>, id: &str, kind: CallKind) -> Outcome {
     let status = response.status().as_u16();
     let by_server = response.headers().contains_key(SERVED_BY);
-    let comes_back = response.headers().contains_key(RETRY_AFTER);
+    let has_retry_after = response.headers().contains_key(RETRY_AFTER);
     let Ok(body) = response.into_body().collect().await else {
         return Outcome::Cut { had_begun: true };
     };
     if status != 200 {
-        return if comes_back && !by_server {
+        return if has_retry_after && !by_server {
             Outcome::NotRun { status }
         } else {
             Outcome::Failed { status, by_server }
--- a/crates/reedsail_soak/src/checker.rs
+++ b/crates/reedsail_soak/src/checker.rs
@@ -15,13 +15,13 @@
 /// A server must get no new request after this time from the write of its departure.
 const LEAVING_WITHIN_MS: u64 = 5_000;
 /// Violations are excused for this time after a fault was undone.
-pub(crate) const AFTERMATH_MS: u64 = 2_500;
+pub(crate) const FAULT_GRACE_MS: u64 = 2_500;
 /// A planned stop must be over after this time.
 const STOP_WITHIN_MS: u64 = 10_000;
 /// A process younger than this may not have installed its signal handler, and serves no requests yet.
 const STARTING_MS: u64 = 1_500;
 /// An answer cut less than this time before its request's timeout was cut by the timeout.
-const TIME_OVER_MARGIN_MS: u64 = 100;
+const TIMEOUT_MARGIN_MS: u64 = 100;
 /// Guarantees that other load on the machine can break.
 const TIMED_PROMISES: [&str; 6] = [
     "a final answer in time",
@@ -37,13 +37,13 @@
 const RECOVERED_PERCENT: usize = 90;
 /// Maximum number of attempts that one planned stop may cut without an answer: requests sent while
 /// the instance closes their connection.
-const CROSSING_MAX: usize = 3;
+const IN_FLIGHT_CUTS_MAX: usize = 3;
 /// Minimum number of attempts of a workspace for the fairness check.
 const FAIR_ATTEMPTS_MIN: usize = 30;
 /// Minimum answered ratio of the small workspace, as a percentage of the large workspace's ratio.
 const FAIR_PERCENT: usize = 50;
 /// The workspace whose key changes.
-const CHANGING: &str = "changing";
+const CHANGING_WORKSPACE: &str = "changing";
 
 /// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -88,29 +88,33 @@
     let by_attempt = history.runs_by_attempt();
     for attempt in &history.attempts {
         let runs = by_attempt.get(attempt.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let most = if attempt.kind.runs_once() {
+        let runs_max = if attempt.kind.runs_once() {
             1
         } else {
             history.attempts_max
         };
-        if runs.len() > most {
+        if runs.len() > runs_max {
             let what = format!(
-                "{} ran {} times, {most} at most: {}",
-                shown(attempt),
+                "{} ran {} times, {runs_max} at most: {}",
+                describe_attempt(attempt),
                 runs.len(),
-                servers(runs)
+                describe_runs(runs)
             );
             found.push(Violation::new("at most once", what));
         }
         if matches!(attempt.outcome, Outcome::NotRun { .. }) && !runs.is_empty() {
-            let what = format!("{} was said not to have run: {}", shown(attempt), servers(runs));
+            let what = format!(
+                "{} was reported as not run, but ran: {}",
+                describe_attempt(attempt),
+                describe_runs(runs)
+            );
             found.push(Violation::new("not run is true", what));
         }
         for run in runs {
             if run.saw_key || run.workspace.as_deref() != Some(attempt.workspace.as_str()) {
                 let what = format!(
                     "{}: the server saw workspace {:?}, key: {}",
-                    shown(attempt),
+                    describe_attempt(attempt),
                     run.workspace,
                     run.saw_key
                 );
@@ -123,7 +127,7 @@
 fn check_answers(history: &History, found: &mut Vec<Violation>) {
     for attempt in &history.attempts {
         if let Outcome::Wrong(fault) = &attempt.outcome {
-            let what = format!("{}: {fault}", shown(attempt));
+            let what = format!("{}: {fault}", describe_attempt(attempt));
             found.push(Violation::new("whole and own answers", what));
         }
     }
@@ -132,47 +136,53 @@
 /// Checks that each request that reaches an instance gets an answer, unless a fault affects the instance
 /// or the link to it, and that each started answer is completed, unless a fault affects a server.
 fn check_cuts(history: &History, found: &mut Vec<Violation>) {
-    let mut crossings = Vec::new();
+    let mut in_flight_cuts = Vec::new();
     for attempt in &history.attempts {
         let until_ms = attempt.ended_ms;
-        let from_ms = attempt.began_ms.saturating_sub(AFTERMATH_MS);
+        let from_ms = attempt.began_ms.saturating_sub(FAULT_GRACE_MS);
         let instance = attempt.daemon;
-        let by_own_side =
+        let affects_instance =
             |target| target == Target::Daemon(instance) || target == Target::CallersLink(instance);
-        if history.is_disturbed(from_ms, until_ms, by_own_side) {
+        if history.is_disturbed(from_ms, until_ms, affects_instance) {
             continue;
         }
-        let by_server = |target| matches!(target, Target::Server(_));
+        let affects_server = |target| matches!(target, Target::Server(_));
         let is_stopping = history.is_disturbed(attempt.began_ms, until_ms, |target| {
             target == Target::Stop(instance)
         });
         match attempt.outcome {
-            Outcome::Cut { had_begun: true } if is_time_over(history, attempt) => {}
-            Outcome::Cut { had_begun: true } if !history.is_disturbed(from_ms, until_ms, by_server) => {
+            Outcome::Cut { had_begun: true } if has_timed_out(history, attempt) => {}
+            Outcome::Cut { had_begun: true } if !history.is_disturbed(from_ms, until_ms, affects_server) => {
                 let promise = if is_stopping {
                     "planned work cuts nothing"
                 } else {
                     "no answer breaks off"
                 };
-                found.push(Violation::new(promise, shown(attempt)));
+                found.push(Violation::new(promise, describe_attempt(attempt)));
             }
-            Outcome::Cut { had_begun: false } if is_stopping => crossings.push(attempt),
+            Outcome::Cut { had_begun: false } if is_stopping => in_flight_cuts.push(attempt),
             Outcome::Cut { had_begun: false } => {
-                found.push(Violation::new("a final answer for each request", shown(attempt)));
+                found.push(Violation::new(
+                    "a final answer for each request",
+                    describe_attempt(attempt),
+                ));
             }
-            Outcome::Silent => found.push(Violation::new("a final answer in time", shown(attempt))),
+            Outcome::Silent => found.push(Violation::new(
+                "a final answer in time",
+                describe_attempt(attempt),
+            )),
             _ => {}
         }
     }
     // Requests that begin after an instance has exited reach only the proxy in front of it.
     for exit in &history.exits {
-        let own = crossings.iter().filter(|attempt| {
+        let own = in_flight_cuts.iter().filter(|attempt| {
             attempt.daemon == exit.daemon
                 && attempt.ended_ms >= exit.asked_ms
                 && exit.ended_ms.is_none_or(|ended_ms| attempt.began_ms <= ended_ms)
         });
-        let own: Vec<String> = own.map(|attempt| shown(attempt)).collect();
-        if own.len() > CROSSING_MAX {
+        let own: Vec<String> = own.map(|attempt| describe_attempt(attempt)).collect();
+        if own.len() > IN_FLIGHT_CUTS_MAX {
             let what = format!("{} cut by one stop: {}", own.len(), own.join("; "));
             found.push(Violation::new("planned work cuts nothing", what));
         }
@@ -180,9 +190,9 @@
 }
 
 /// Returns whether an attempt ran into its timeout, which cuts a stream at any point.
-fn is_time_over(history: &History, attempt: &Attempt) -> bool {
+fn has_timed_out(history: &History, attempt: &Attempt) -> bool {
     let took_ms = attempt.ended_ms.saturating_sub(attempt.began_ms);
-    took_ms + TIME_OVER_MARGIN_MS >= history.timeout_ms
+    took_ms + TIMEOUT_MARGIN_MS >= history.timeout_ms
 }
 
 fn check_versions(history: &History, found: &mut Vec<Violation>) {
@@ -196,7 +206,7 @@
             let (before, after) = (pair[0], pair[1]);
             if before.life == after.life && after.version < before.version {
                 let what = format!(
-                    "instance {instance} showed {} at {} ms, {} before",
+                    "instance {instance} had version {} in force at {} ms, version {} before",
                     after.version, after.ended_ms, before.version
                 );
                 found.push(Violation::new("configuration never backwards", what));
@@ -212,10 +222,10 @@
                 Target::Store => true,
                 Target::CallersLink(_) | Target::Server(_) | Target::Notices(_) => false,
             };
-            let from_ms = write.at_ms.saturating_sub(AFTERMATH_MS);
+            let from_ms = write.at_ms.saturating_sub(FAULT_GRACE_MS);
             if probe.version < write.version && !history.is_disturbed(from_ms, probe.ended_ms, concerns) {
                 let what = format!(
-                    "instance {instance} showed {} at {} ms; {} was written at {} ms",
+                    "instance {instance} had version {} in force at {} ms; version {} was written at {} ms",
                     probe.version, probe.ended_ms, write.version, write.at_ms
                 );
                 found.push(Violation::new("configuration in force in time", what));
@@ -230,7 +240,7 @@
     for attempt in history
         .attempts
         .iter()
-        .filter(|attempt| attempt.workspace == CHANGING)
+        .filter(|attempt| attempt.workspace == CHANGING_WORKSPACE)
     {
         let before = history
             .probes
@@ -238,24 +248,24 @@
             .rev()
             .find(|probe| probe.daemon == attempt.daemon && probe.ended_ms <= attempt.began_ms);
         let Some(before) = before else { continue };
-        let restarted =
+        let is_restart =
             |target| target == Target::Daemon(attempt.daemon) || target == Target::Stop(attempt.daemon);
-        if history.is_disturbed(before.began_ms, attempt.ended_ms, restarted) {
+        if history.is_disturbed(before.began_ms, attempt.ended_ms, is_restart) {
             continue;
         }
-        let Some(seen) = history
+        let Some(probed_write) = history
             .writes
             .iter()
             .find(|write| write.version == before.version)
         else {
             continue;
         };
-        if attempt.key < seen.key && attempt.outcome == Outcome::Answered {
+        if attempt.key < probed_write.key && attempt.outcome == Outcome::Answered {
             let what = format!(
-                "{}: key {} was taken away in version {}",
-                shown(attempt),
+                "{}: key {} was revoked in version {}",
+                describe_attempt(attempt),
                 attempt.key,
-                seen.version
+                probed_write.version
             );
             found.push(Violation::new("no key after it was taken away", what));
         }
@@ -266,7 +276,7 @@
             .all(|write| write.key == attempt.key);
         let is_refused = matches!(attempt.outcome, Outcome::Failed { status: 401, .. });
         if is_valid && is_refused {
-            found.push(Violation::new("no valid key refused", shown(attempt)));
+            found.push(Violation::new("no valid key refused", describe_attempt(attempt)));
         }
     }
 }
@@ -286,7 +296,7 @@
                     Target::Server(_) | Target::Notices(_) | Target::CallersLink(_)
                 )
             };
-            let from_ms = departure.at_ms.saturating_sub(AFTERMATH_MS);
+            let from_ms = departure.at_ms.saturating_sub(FAULT_GRACE_MS);
             if !history.is_disturbed(from_ms, run.began_ms, concerns) {
                 let what = format!(
                     "{} reached {} at {} ms; it left at {} ms",
@@ -300,15 +310,15 @@
 
 fn check_exits(history: &History, found: &mut Vec<Violation>) {
     for instance in &history.ended_by_themselves {
-        let what = format!("instance {instance} is gone at the end");
+        let what = format!("instance {instance} exited without being stopped or killed");
         found.push(Violation::new("a daemon ends only when it is told to", what));
     }
     for exit in &history.exits {
         let ended_ms = exit.ended_ms.unwrap_or(u64::MAX);
-        let was_struck = history.is_disturbed(exit.asked_ms, ended_ms, |target| {
+        let was_disturbed = history.is_disturbed(exit.asked_ms, ended_ms, |target| {
             target == Target::Daemon(exit.daemon)
         });
-        if was_struck {
+        if was_disturbed {
             continue;
         }
         let is_starting = exit.asked_ms.saturating_sub(exit.started_ms) < STARTING_MS;
@@ -318,7 +328,7 @@
         let is_late = ended_ms.saturating_sub(exit.asked_ms) > STOP_WITHIN_MS;
         if is_late || exit.code != Some(0) {
             let what = format!(
-                "instance {} was asked at {} ms, ended at {:?}, code {:?}",
+                "instance {} was asked to stop at {} ms, ended at {:?}, code {:?}",
                 exit.daemon, exit.asked_ms, exit.ended_ms, exit.code
             );
             found.push(Violation::new("a planned stop ends well and in time", what));
@@ -355,7 +365,7 @@
 
 fn check_recovery(history: &History, found: &mut Vec<Violation>) {
     let from_ms = history.for_ms.saturating_sub(RECOVERED_FOR_MS);
-    if history.is_disturbed(from_ms.saturating_sub(AFTERMATH_MS), history.for_ms, |_| true) {
+    if history.is_disturbed(from_ms.saturating_sub(FAULT_GRACE_MS), history.for_ms, |_| true) {
         return;
     }
     let last = history.attempts.iter().filter(|attempt| {
@@ -375,7 +385,7 @@
     }
 }
 
-fn shown(attempt: &Attempt) -> String {
+fn describe_attempt(attempt: &Attempt) -> String {
     format!(
         "{} ({:?}, workspace {}, instance {}, {} to {} ms: {:?})",
         attempt.id,
@@ -388,7 +398,7 @@
     )
 }
 
-fn servers(runs: &[&Run]) -> String {
+fn describe_runs(runs: &[&Run]) -> String {
     let names: Vec<String> = runs
         .iter()
         .map(|run| format!("{} at {} ms", run.server, run.began_ms))
--- a/crates/reedsail_soak/src/draw.rs
+++ b/crates/reedsail_soak/src/draw.rs
@@ -12,15 +12,15 @@
 use crate::Schedule;
 
 /// No fault begins before this time, so that all processes have started and served for a while.
-const CALM_AT_FIRST_MS: u64 = 2_000;
+const FAULT_FREE_START_MS: u64 = 2_000;
 /// Every fault ends at least this long before the end.
-const CALM_AT_LAST_MS: u64 = 8_000;
+const FAULT_FREE_END_MS: u64 = 8_000;
 /// Average time between two series of faults.
-const SERIES_EVERY_MS: u64 = 1_500;
+const SERIES_INTERVAL_MS: u64 = 1_500;
 /// Maximum number of faults in one series.
-const SERIES_MOST: u64 = 4;
+const FAULTS_PER_SERIES_MAX: u64 = 4;
 /// Maximum duration of a fault.
-const FAULT_MOST_MS: u64 = 4_000;
+const FAULT_DURATION_MAX_MS: u64 = 4_000;
 
 /// Draws a schedule. The same seed, duration and number of instances give the same schedule.
 pub fn draw_schedule(seed: u64, for_ms: u64, instances: Option<usize>) -> Schedule {
@@ -34,8 +34,10 @@
         faults: Vec::new(),
         cause: String::new(),
     };
-    let last_ms = for_ms.saturating_sub(CALM_AT_LAST_MS).max(CALM_AT_FIRST_MS + 1);
-    for _ in 0..(last_ms / SERIES_EVERY_MS).max(1) {
+    let last_ms = for_ms
+        .saturating_sub(FAULT_FREE_END_MS)
+        .max(FAULT_FREE_START_MS + 1);
+    for _ in 0..(last_ms / SERIES_INTERVAL_MS).max(1) {
         let series = draw_series(&mut random, &schedule, last_ms);
         schedule.faults.extend(series);
     }
@@ -45,19 +47,21 @@
 
 /// Draws consecutive faults of one kind, all on the same target or each on the next target.
 fn draw_series(random: &mut StdRng, schedule: &Schedule, last_ms: u64) -> Vec<Fault> {
-    let count = random.random_range(1..=SERIES_MOST);
-    let mut at_ms = random.random_range(CALM_AT_FIRST_MS..last_ms);
-    let kind = random.random_range(0..KINDS);
-    let first_part = random.random_range(0..64);
-    let walks = random.random_bool(0.5);
+    let count = random.random_range(1..=FAULTS_PER_SERIES_MAX);
+    let mut at_ms = random.random_range(FAULT_FREE_START_MS..last_ms);
+    let kind = random.random_range(0..KIND_COUNT);
+    let first_target = random.random_range(0..64);
+    let is_target_advancing = random.random_bool(0.5);
     let mut faults = Vec::new();
     for number in 0..count {
-        let part = first_part + if walks { number as usize } else { 0 };
-        let for_ms = random.random_range(100..=FAULT_MOST_MS).min(last_ms - at_ms);
+        let target = first_target + if is_target_advancing { number as usize } else { 0 };
+        let for_ms = random
+            .random_range(100..=FAULT_DURATION_MAX_MS)
+            .min(last_ms - at_ms);
         faults.push(Fault {
             at_ms,
             for_ms,
-            kind: draw_kind(random, schedule, kind, part),
+            kind: draw_kind(random, schedule, kind, target),
         });
         at_ms += random.random_range(for_ms / 2..=for_ms + 500);
         if at_ms >= last_ms {
@@ -68,11 +72,11 @@
 }
 
 /// Number of indices that [`draw_kind`] maps to a fault kind.
-const KINDS: u32 = 21;
+const KIND_COUNT: u32 = 21;
 
-fn draw_kind(random: &mut StdRng, schedule: &Schedule, kind: u32, part: usize) -> FaultKind {
-    let instance = part % schedule.daemons;
-    let server = part % schedule.servers();
+fn draw_kind(random: &mut StdRng, schedule: &Schedule, kind: u32, target: usize) -> FaultKind {
+    let instance = target % schedule.daemons;
+    let server = target % schedule.servers();
     match kind {
         0..3 => FaultKind::Link(draw_link(random, instance, server), draw_link_fault(random)),
         3 => FaultKind::KillDaemon(instance),
--- a/crates/reedsail_soak/src/fleet.rs
+++ b/crates/reedsail_soak/src/fleet.rs
@@ -53,7 +53,7 @@
     }
 
     /// Sends a command; commands are executed in order.
-    pub(crate) async fn obey(&self, command: &StoreCommand) -> anyhow::Result<()> {
+    pub(crate) async fn send_command(&self, command: &StoreCommand) -> anyhow::Result<()> {
         let line = serde_json::to_string(command)? + "\n";
         let mut input = self.input.lock().await;
         input
@@ -65,15 +65,15 @@
 
 /// One process of a backend server.
 #[derive(Debug)]
-pub(crate) struct ServerLife {
+pub(crate) struct RunningServer {
     pub(crate) id: String,
     pub(crate) process: Process,
     input: ChildStdin,
 }
 
-impl ServerLife {
+impl RunningServer {
     /// Sets or clears the server's answer fault; a server that has ended is ignored.
-    pub(crate) async fn answer_with(&mut self, fault: Option<AnswerFault>) {
+    pub(crate) async fn set_answer_fault(&mut self, fault: Option<AnswerFault>) {
         let line = serde_json::to_string(&fault).expect("an answer fault serializes to JSON") + "\n";
         let _ = self.input.write_all(line.as_bytes()).await;
     }
@@ -86,30 +86,32 @@
     service: &'static str,
     standins: PathBuf,
     pub(crate) proxy: Proxy,
-    pub(crate) life: Mutex<Option<ServerLife>>,
-    lives: AtomicU64,
+    pub(crate) running: Mutex<Option<RunningServer>>,
+    start_count: AtomicU64,
     lines: UnboundedSender<ServerLine>,
 }
 
 impl Server {
     /// Starts and announces a process, unless one runs.
-    pub(crate) async fn revive(&self, store: &Store) -> anyhow::Result<()> {
-        let mut life = self.life.lock().await;
-        if life.is_some() {
+    pub(crate) async fn start_process(&self, store: &Store) -> anyhow::Result<()> {
+        let mut running = self.running.lock().await;
+        if running.is_some() {
             return Ok(());
         }
-        let lives = self.lives.fetch_add(1, Ordering::Relaxed);
+        let lives = self.start_count.fetch_add(1, Ordering::Relaxed);
         let id = format!("server-{}-{lives}", self.number);
         let mut command = Command::new(&self.standins);
         command.arg("soak-server").arg("--id").arg(&id);
-        if self.service == layout::ENGINES {
+        if self.service == layout::ENGINE_SERVICE {
             command.arg("--streams");
         }
         let (process, input, output, address) = start_standin(&mut command).await?;
-        tokio::spawn(pass_lines(output, self.lines.clone()));
+        tokio::spawn(forward_lines(output, self.lines.clone()));
         self.proxy.set_upstream(Some(address));
-        store.obey(&StoreCommand::Announce(self.spec(&id, false))).await?;
-        *life = Some(ServerLife { id, process, input });
+        store
+            .send_command(&StoreCommand::Announce(self.spec(&id, false)))
+            .await?;
+        *running = Some(RunningServer { id, process, input });
         Ok(())
     }
 
@@ -144,23 +146,25 @@
     ) -> anyhow::Result<Arc<Self>> {
         let store = Store::start(programs).await?;
         let configuration = layout::configuration(1, 1);
-        store.obey(&StoreCommand::Configure(configuration)).await?;
+        store
+            .send_command(&StoreCommand::Configure(configuration))
+            .await?;
         let mut servers = Vec::new();
         for number in 0..schedule.servers() {
             let server = Server {
                 number,
                 service: if number < schedule.engines {
-                    layout::ENGINES
+                    layout::ENGINE_SERVICE
                 } else {
-                    layout::PLAIN
+                    layout::PLAIN_SERVICE
                 },
                 standins: programs.standins.clone(),
                 proxy: Proxy::start(None).await?,
-                life: Mutex::new(None),
-                lives: AtomicU64::new(0),
+                running: Mutex::new(None),
+                start_count: AtomicU64::new(0),
                 lines: lines.clone(),
             };
-            server.revive(&store).await?;
+            server.start_process(&store).await?;
             servers.push(server);
         }
         let mut instances = Vec::new();
@@ -185,8 +189,10 @@
     pub(crate) async fn resident_kb(&self) -> u64 {
         let mut sum_kb = self.store.process.resident_kb();
         for server in &self.servers {
-            let life = server.life.lock().await;
-            sum_kb += life.as_ref().map_or(0, |life| life.process.resident_kb());
+            let running = server.running.lock().await;
+            sum_kb += running
+                .as_ref()
+                .map_or(0, |running| running.process.resident_kb());
         }
         sum_kb + self.instances.iter().map(Instance::resident_kb).sum::<u64>()
     }
@@ -197,9 +203,9 @@
             instance.close().await;
         }
         for server in self.servers {
-            let life = server.life.lock().await.take();
-            if let Some(life) = life {
-                life.process.close().await;
+            let running = server.running.lock().await.take();
+            if let Some(running) = running {
+                running.process.close().await;
             }
             server.proxy.close();
         }
@@ -226,7 +232,7 @@
     Ok((process, input, lines, address))
 }
 
-async fn pass_lines(mut output: Lines<BufReader<ChildStdout>>, lines: UnboundedSender<ServerLine>) {
+async fn forward_lines(mut output: Lines<BufReader<ChildStdout>>, lines: UnboundedSender<ServerLine>) {
     while let Ok(Some(text)) = output.next_line().await {
         // A line truncated by a kill belongs to a request that got no answer.
         if let Ok(line) = serde_json::from_str(&text)
--- a/crates/reedsail_soak/src/instance.rs
+++ b/crates/reedsail_soak/src/instance.rs
@@ -35,7 +35,7 @@
     pub(crate) store: Proxy,
     process: Mutex<Option<Process>>,
     /// Number of starts.
-    lives: AtomicU64,
+    start_count: AtomicU64,
     /// Time of the last start, in Unix milliseconds.
     pub(crate) started_unix_ms: AtomicU64,
     /// Whether the last request to its readiness page succeeded.
@@ -63,22 +63,22 @@
             callers: Proxy::start(Some(addresses.callers)).await?,
             store: Proxy::start(Some(store)).await?,
             process: Mutex::new(None),
-            lives: AtomicU64::new(0),
+            start_count: AtomicU64::new(0),
             started_unix_ms: AtomicU64::new(0),
             is_ready: AtomicBool::new(false),
         };
         instance.write_settings(LOG_LINES_PER_S)?;
-        instance.revive()?;
+        instance.start_process()?;
         Ok(instance)
     }
 
     /// Returns how many times the instance was started.
-    pub(crate) fn life(&self) -> u64 {
-        self.lives.load(Ordering::Relaxed)
+    pub(crate) fn start_count(&self) -> u64 {
+        self.start_count.load(Ordering::Relaxed)
     }
 
     /// Starts the process unless it runs. Returns whether it was started.
-    pub(crate) fn revive(&self) -> anyhow::Result<bool> {
+    pub(crate) fn start_process(&self) -> anyhow::Result<bool> {
         let mut process = self.lock();
         if process.is_some() {
             return Ok(false);
@@ -88,22 +88,22 @@
         command.arg("--config").arg(self.settings_file());
         *process = Some(Process::start(&mut command, Some(&log))?);
         self.started_unix_ms.store(Clock::unix_ms(), Ordering::Relaxed);
-        self.lives.fetch_add(1, Ordering::Relaxed);
+        self.start_count.fetch_add(1, Ordering::Relaxed);
         Ok(true)
     }
 
     /// Sends a signal to the process if it runs and was not restarted since the given start.
-    pub(crate) fn signal(&self, signal: Signal, life: u64) {
+    pub(crate) fn signal(&self, signal: Signal, start_count: u64) {
         let process = self.lock();
         if let Some(process) = process.as_ref()
-            && self.life() == life
+            && self.start_count() == start_count
         {
             process.signal(signal);
         }
     }
 
     /// Takes the process out, so that no other fault ends it.
-    pub(crate) fn take(&self) -> Option<Process> {
+    pub(crate) fn take_process(&self) -> Option<Process> {
         self.lock().take()
     }
 
@@ -114,8 +114,8 @@
 
     /// Writes changed settings to disk.
     pub(crate) fn change_settings(&self) -> anyhow::Result<()> {
-        let life = self.life() as u32;
-        self.write_settings(LOG_LINES_PER_S + life)
+        let start_count = self.start_count() as u32;
+        self.write_settings(LOG_LINES_PER_S + start_count)
     }
 
     /// Returns the resident memory in kilobytes, or zero if no process runs.
@@ -125,7 +125,7 @@
 
     /// Stops the instance and its proxies.
     pub(crate) async fn close(self) {
-        let process = self.take();
+        let process = self.take_process();
         if let Some(process) = process {
             process.close().await;
         }
--- a/crates/reedsail_soak/src/layout.rs
+++ b/crates/reedsail_soak/src/layout.rs
@@ -11,7 +11,7 @@
 use crate::CallKind;
 
 /// Number of failure domains of the instances and servers.
-const DOMAINS: usize = 3;
+const DOMAIN_COUNT: usize = 3;
 /// Maximum time that the router holds a request.
 pub(crate) const TIMEOUT_MS: u64 = 2_000;
 /// Latency target of every route.
@@ -19,17 +19,17 @@
 /// Maximum number of servers that one attempt may be sent to.
 pub(crate) const ATTEMPTS_MAX: u32 = 3;
 /// Maximum duration of a planned stop.
-const STOP_MS: u64 = 6_000;
+const STOP_DURATION_MAX_MS: u64 = 6_000;
 /// Host of the callers' requests.
 pub(crate) const HOST: &str = "soak.example";
 /// Host of the probes' requests.
 pub(crate) const PROBE_HOST: &str = "probe.example";
 /// The workspace whose key changes.
-pub(crate) const CHANGING: &str = "changing";
+pub(crate) const CHANGING_WORKSPACE: &str = "changing";
 /// Service that answers streams.
-pub(crate) const ENGINES: &str = "engines";
+pub(crate) const ENGINE_SERVICE: &str = "engines";
 /// Service that answers all other requests.
-pub(crate) const PLAIN: &str = "plain";
+pub(crate) const PLAIN_SERVICE: &str = "plain";
 
 /// The addresses of one instance, kept across restarts.
 #[derive(Clone, Copy, Debug)]
@@ -44,8 +44,13 @@
     /// Returns the addresses of an instance. It has its own loopback address, so that no other program
     /// takes its ports during a restart.
     pub(crate) fn of(instance: usize) -> Self {
-        let soak = std::process::id();
-        let address = Ipv4Addr::new(127, 64 + (soak >> 8) as u8 % 128, soak as u8, 1 + instance as u8);
+        let process_id = std::process::id();
+        let address = Ipv4Addr::new(
+            127,
+            64 + (process_id >> 8) as u8 % 128,
+            process_id as u8,
+            1 + instance as u8,
+        );
         let at = |port| SocketAddr::new(IpAddr::V4(address), port);
         Self {
             callers: at(7_300),
@@ -58,7 +63,7 @@
 
 /// Returns the failure domain of the instance or server with the given number.
 pub(crate) fn domain(number: usize) -> String {
-    format!("domain-{}", number % DOMAINS)
+    format!("domain-{}", number % DOMAIN_COUNT)
 }
 
 /// Returns an instance's settings.
@@ -78,7 +83,7 @@
          store: {store}\n\
          seeds: [{}]\n\
          log_lines_per_s: {log_lines_per_s}\n\
-         stop:\n  accept_ms: 2000\n  end_ms: {STOP_MS}\n",
+         stop:\n  accept_ms: 2000\n  end_ms: {STOP_DURATION_MAX_MS}\n",
         domain(instance),
         addresses.callers,
         addresses.readiness,
@@ -115,7 +120,7 @@
         host: PROBE_HOST.to_owned(),
         prefix: probe_path(version),
         kind: RouteKind::Repeatable,
-        service: PLAIN.to_owned(),
+        service: PLAIN_SERVICE.to_owned(),
         is_anonymous: true,
     });
     ConfigurationSpec {
@@ -127,7 +132,10 @@
         workspaces: vec![
             ("large".to_owned(), vec![key("large", 0)]),
             ("small".to_owned(), vec![key("small", 0)]),
-            (CHANGING.to_owned(), vec![key(CHANGING, changing_key)]),
+            (
+                CHANGING_WORKSPACE.to_owned(),
+                vec![key(CHANGING_WORKSPACE, changing_key)],
+            ),
         ],
     }
 }
@@ -143,8 +151,8 @@
             CallKind::Chat => RouteKind::ResumableStream,
         },
         service: match kind {
-            CallKind::Lookup | CallKind::Order => PLAIN.to_owned(),
-            CallKind::Letter | CallKind::Chat => ENGINES.to_owned(),
+            CallKind::Lookup | CallKind::Order => PLAIN_SERVICE.to_owned(),
+            CallKind::Letter | CallKind::Chat => ENGINE_SERVICE.to_owned(),
         },
         is_anonymous: false,
     }
--- a/crates/reedsail_soak/src/notice_checks.rs
+++ b/crates/reedsail_soak/src/notice_checks.rs
@@ -11,12 +11,12 @@
 use crate::Run;
 use crate::Target;
 use crate::Violation;
-use crate::checker::AFTERMATH_MS;
+use crate::checker::FAULT_GRACE_MS;
 
 /// A request that begins more than this time after an answer of a draining server must not reach that server.
-const DRAINING_WITHIN_MS: u64 = 2_000;
+const DRAINING_GRACE_MS: u64 = 2_000;
 /// Requests may arrive for this time after a server has asked for a back-off: they were already in flight.
-const BACKOFF_WITHIN_MS: u64 = 500;
+const BACKOFF_GRACE_MS: u64 = 500;
 /// Maximum number of requests that may arrive between then and the end of the back-off.
 const BACKOFF_ARRIVALS_MAX: usize = 2;
 
@@ -33,11 +33,11 @@
 pub(crate) fn check_notices(history: &History, found: &mut Vec<Violation>) {
     for exchange in exchanges(history) {
         for (notice, attempt) in &exchange.notices {
-            let broken = match notice.kind {
+            let violation = match notice.kind {
                 NoticeKind::Draining => exchange.check_draining(history, notice, attempt),
                 NoticeKind::Backoff(backoff_ms) => exchange.check_backoff(history, notice, backoff_ms),
             };
-            found.extend(broken);
+            found.extend(violation);
         }
     }
 }
@@ -60,38 +60,38 @@
         })
     }
 
-    fn check_draining(&self, history: &History, notice: &Notice, told: &Attempt) -> Option<Violation> {
+    fn check_draining(&self, history: &History, notice: &Notice, notified: &Attempt) -> Option<Violation> {
         // Only an answer that reached the caller has certainly reached the instance.
-        if told.outcome != Outcome::Answered {
+        if notified.outcome != Outcome::Answered {
             return None;
         }
-        let due_ms = told.ended_ms + DRAINING_WITHIN_MS;
+        let due_ms = notified.ended_ms + DRAINING_GRACE_MS;
         let is_late = |run: &Run, attempt: &Attempt| {
             attempt.began_ms > due_ms && !self.is_restarted(history, notice.at_ms, run.began_ms)
         };
         let (run, _) = self.runs.iter().find(|(run, attempt)| is_late(run, attempt))?;
         let what = format!(
-            "{} reached {} from instance {} at {} ms; its answer at {} ms said that it drains",
-            run.id, self.server, self.instance, run.began_ms, told.ended_ms
+            "{} reached {} from instance {} at {} ms; its answer at {} ms reported that it is draining",
+            run.id, self.server, self.instance, run.began_ms, notified.ended_ms
         );
         Some(Violation::new("nothing for a server that said it drains", what))
     }
 
     fn check_backoff(&self, history: &History, notice: &Notice, backoff_ms: u64) -> Option<Violation> {
         let until_ms = notice.at_ms + backoff_ms;
-        let from_ms = notice.at_ms + BACKOFF_WITHIN_MS;
+        let from_ms = notice.at_ms + BACKOFF_GRACE_MS;
         let is_within = |at_ms: &&u64| **at_ms > from_ms && **at_ms < until_ms;
         let arrivals = self.arrivals_ms.iter().filter(is_within).count();
-        let cut_from_ms = notice.at_ms.saturating_sub(AFTERMATH_MS);
-        let is_cut = history.is_disturbed(cut_from_ms, until_ms, |target| {
+        let disturbed_from_ms = notice.at_ms.saturating_sub(FAULT_GRACE_MS);
+        let is_server_disturbed = history.is_disturbed(disturbed_from_ms, until_ms, |target| {
             matches!(target, Target::Server(_))
         });
-        let is_excused = is_cut || self.is_restarted(history, notice.at_ms, until_ms);
+        let is_excused = is_server_disturbed || self.is_restarted(history, notice.at_ms, until_ms);
         if arrivals <= BACKOFF_ARRIVALS_MAX || is_excused {
             return None;
         }
         let what = format!(
-            "{} asked instance {} at {} ms for {backoff_ms} ms, and got {arrivals} requests",
+            "{} asked instance {} at {} ms for a back-off of {backoff_ms} ms, but received {arrivals} requests",
             self.server, self.instance, notice.at_ms
         );
         Some(Violation::new("time for a server that asked for it", what))
@@ -105,14 +105,14 @@
     let mut exchanges: BTreeMap<(&str, usize), Exchange<'_>> = BTreeMap::new();
     for run in &history.runs {
         if let Some(attempt) = attempts.get(run.id.as_str()) {
-            let exchange = exchange_of(&mut exchanges, &run.server, attempt.daemon);
+            let exchange = exchange_entry(&mut exchanges, &run.server, attempt.daemon);
             exchange.arrivals_ms.push(run.began_ms);
             exchange.runs.push((run, attempt));
         }
     }
     for notice in &history.notices {
         if let Some(attempt) = attempts.get(notice.id.as_str()) {
-            let exchange = exchange_of(&mut exchanges, &notice.server, attempt.daemon);
+            let exchange = exchange_entry(&mut exchanges, &notice.server, attempt.daemon);
             if let NoticeKind::Backoff(_) = notice.kind {
                 exchange.arrivals_ms.push(notice.at_ms);
             }
@@ -122,7 +122,7 @@
     exchanges.into_values().collect()
 }
 
-fn exchange_of<'e, 'a>(
+fn exchange_entry<'e, 'a>(
     exchanges: &'e mut BTreeMap<(&'a str, usize), Exchange<'a>>,
     server: &'a str,
     instance: usize,
--- a/crates/reedsail_soak/src/player.rs
+++ b/crates/reedsail_soak/src/player.rs
@@ -27,23 +27,23 @@
 use crate::VersionWrite;
 use crate::caller::CallerShared;
 use crate::fleet::Fleet;
+use crate::fleet::RunningServer;
 use crate::fleet::Server;
-use crate::fleet::ServerLife;
 use crate::instance::Instance;
 use crate::layout;
 
 /// An instance that was asked to stop is killed after this time.
 const STOP_LIMIT_MS: u64 = 12_000;
 /// Time from the start of an instance until it serves requests.
-const START_MS: u64 = 1_500;
+const INSTANCE_START_MS: u64 = 1_500;
 /// Time that the record of a killed server remains in the store.
-const LAPSE_MS: u64 = 1_000;
+const RECORD_EXPIRY_MS: u64 = 1_000;
 /// Time for a leaving server to finish its requests.
-const FINISH_MS: u64 = 3_000;
+const SERVER_DRAIN_MS: u64 = 3_000;
 
 /// What the player records.
 #[derive(Debug, Default)]
-pub(crate) struct Played {
+pub(crate) struct PlayerRecord {
     pub(crate) faults: Vec<FaultSpan>,
     pub(crate) writes: Vec<VersionWrite>,
     pub(crate) departures: Vec<Departure>,
@@ -61,7 +61,7 @@
 
 /// The number of the newest fault of each place, so that the end of a fault does not end a later one.
 #[derive(Debug, Default)]
-struct Acting {
+struct ActiveFaults {
     newest: HashMap<Place, u64>,
     number: u64,
 }
@@ -72,10 +72,10 @@
     fleet: Arc<Fleet>,
     callers: Arc<CallerShared>,
     newest_version: Arc<AtomicU64>,
-    played: Mutex<Played>,
-    acting: Mutex<Acting>,
+    record: Mutex<PlayerRecord>,
+    active_faults: Mutex<ActiveFaults>,
     /// Serializes writes of configuration versions.
-    writing: tokio::sync::Mutex<()>,
+    configure_lock: tokio::sync::Mutex<()>,
 }
 
 impl Player {
@@ -89,26 +89,26 @@
             fleet,
             callers,
             newest_version,
-            played: Mutex::new(Played {
+            record: Mutex::new(PlayerRecord {
                 writes: vec![first],
-                ..Played::default()
+                ..PlayerRecord::default()
             }),
-            acting: Mutex::default(),
-            writing: tokio::sync::Mutex::new(()),
+            active_faults: Mutex::default(),
+            configure_lock: tokio::sync::Mutex::new(()),
         }
     }
 
     /// Returns the record; called after all faults have ended.
-    pub(crate) fn take_played(&self) -> Played {
-        std::mem::take(&mut *self.played())
+    pub(crate) fn take_record(&self) -> PlayerRecord {
+        std::mem::take(&mut *self.record())
     }
 
     /// Waits for a fault's start time, then runs the fault to its end.
     pub(crate) async fn play(&self, fault: Fault) -> anyhow::Result<()> {
         sleep(Duration::from_millis(fault.at_ms.saturating_sub(self.now_ms()))).await;
-        *self.played().counts.entry(fault.kind.name()).or_default() += 1;
+        *self.record().counts.entry(fault.kind.name()).or_default() += 1;
         match fault.kind {
-            FaultKind::Link(link, what) => self.disturb_link(link, what, fault.for_ms).await,
+            FaultKind::Link(link, link_fault) => self.disturb_link(link, link_fault, fault.for_ms).await,
             FaultKind::KillDaemon(instance) => self.kill_instance(instance, fault.for_ms).await?,
             FaultKind::FreezeDaemon(instance) => self.freeze_instance(instance, fault.for_ms).await,
             FaultKind::StopDaemon(instance) => self.stop_instance(instance, fault.for_ms).await?,
@@ -118,7 +118,7 @@
             FaultKind::RetireServer(server) => self.retire_server(server, fault.for_ms).await?,
             FaultKind::DrainByAnswers(server) => self.drain_by_answers(server, fault.for_ms).await?,
             FaultKind::HideServer(server) => self.hide_server(server, fault.for_ms).await?,
-            FaultKind::ServerAnswers(server, what) => self.disturb_answers(server, what, fault.for_ms).await,
+            FaultKind::ServerAnswers(server, kind) => self.disturb_answers(server, kind, fault.for_ms).await,
             FaultKind::StoreRefuses => {
                 let refusal = Some(503);
                 let trouble = StoreFaults {
@@ -141,15 +141,15 @@
                 };
                 self.disturb_store(trouble, fault.for_ms).await?;
             }
-            FaultKind::StoreForgets => self.fleet.store.obey(&StoreCommand::Forget).await?,
-            FaultKind::StoreGoesBack(records) => self.take_store_back(records, fault.for_ms).await?,
+            FaultKind::StoreForgets => self.fleet.store.send_command(&StoreCommand::Forget).await?,
+            FaultKind::StoreGoesBack(records) => self.roll_back_store(records, fault.for_ms).await?,
             FaultKind::Configure => self.configure(false).await?,
             FaultKind::ReplaceKey => self.configure(true).await?,
         }
         Ok(())
     }
 
-    async fn disturb_link(&self, link: Link, what: LinkFault, for_ms: u64) {
+    async fn disturb_link(&self, link: Link, link_fault: LinkFault, for_ms: u64) {
         let (proxy, target) = match link {
             Link::Callers(instance) => (
                 &self.fleet.instances[instance].callers,
@@ -158,64 +158,64 @@
             Link::Store(instance) => (&self.fleet.instances[instance].store, Target::StoreLink(instance)),
             Link::Server(server) => (&self.fleet.servers[server].proxy, Target::Server(server)),
         };
-        let span = self.begin(target);
-        let number = self.begin_at(Place::Link(link));
-        proxy.set_fault(Some(what));
+        let span = self.begin_span(target);
+        let number = self.set_newest(Place::Link(link));
+        proxy.set_fault(Some(link_fault));
         sleep(Duration::from_millis(for_ms)).await;
         if self.is_newest(Place::Link(link), number) {
             proxy.set_fault(None);
         }
-        self.end(span);
+        self.end_span(span);
     }
 
     async fn kill_instance(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let instance = &self.fleet.instances[number];
-        let Some(process) = instance.take() else {
+        let Some(process) = instance.take_process() else {
             return Ok(());
         };
-        let span = self.begin(Target::Daemon(number));
+        let span = self.begin_span(Target::Daemon(number));
         process.close().await;
         sleep(Duration::from_millis(for_ms)).await;
-        self.revive(instance).await?;
-        self.end(span);
+        self.start_instance(instance).await?;
+        self.end_span(span);
         Ok(())
     }
 
     async fn freeze_instance(&self, number: usize, for_ms: u64) {
         let instance = &self.fleet.instances[number];
-        let life = instance.life();
-        let span = self.begin(Target::Daemon(number));
-        instance.signal(Signal::STOP, life);
+        let start_count = instance.start_count();
+        let span = self.begin_span(Target::Daemon(number));
+        instance.signal(Signal::STOP, start_count);
         sleep(Duration::from_millis(for_ms)).await;
-        instance.signal(Signal::CONT, life);
-        self.end(span);
+        instance.signal(Signal::CONT, start_count);
+        self.end_span(span);
     }
 
     /// Changes the settings and signals the instance to reload them. The signal would end a process that
-    /// has just started and has no handler yet, so this waits for [`START_MS`] first.
+    /// has just started and has no handler yet, so this waits for [`INSTANCE_START_MS`] first.
     async fn reload_instance(&self, number: usize) -> anyhow::Result<()> {
         let instance = &self.fleet.instances[number];
-        let life = instance.life();
+        let start_count = instance.start_count();
         let age_ms = Clock::unix_ms().saturating_sub(instance.started_unix_ms.load(Ordering::Relaxed));
-        sleep(Duration::from_millis(START_MS.saturating_sub(age_ms))).await;
+        sleep(Duration::from_millis(INSTANCE_START_MS.saturating_sub(age_ms))).await;
         instance.change_settings()?;
-        instance.signal(Signal::HUP, life);
+        instance.signal(Signal::HUP, start_count);
         Ok(())
     }
 
     async fn stop_instance(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let instance = &self.fleet.instances[number];
-        let Some(mut process) = instance.take() else {
+        let Some(mut process) = instance.take_process() else {
             return Ok(());
         };
-        let span = self.begin(Target::Stop(number));
+        let span = self.begin_span(Target::Stop(number));
         let asked_ms = self.now_ms();
         let started_unix_ms = instance.started_unix_ms.load(Ordering::Relaxed);
         process.signal(Signal::TERM);
         // Resumes a paused process: the end of the pause cannot signal it, since the process was taken out.
         process.signal(Signal::CONT);
         let code = process.wait(STOP_LIMIT_MS).await;
-        self.played().exits.push(Exit {
+        self.record().exits.push(Exit {
             daemon: number,
             started_ms: self.callers.clock.since_start_ms(started_unix_ms),
             asked_ms,
@@ -224,165 +224,198 @@
         });
         process.close().await;
         sleep(Duration::from_millis(for_ms / 4)).await;
-        self.revive(instance).await?;
-        self.end(span);
+        self.start_instance(instance).await?;
+        self.end_span(span);
         Ok(())
     }
 
-    async fn revive(&self, instance: &Instance) -> anyhow::Result<()> {
-        if instance.revive()? {
-            sleep(Duration::from_millis(START_MS)).await;
+    async fn start_instance(&self, instance: &Instance) -> anyhow::Result<()> {
+        if instance.start_process()? {
+            sleep(Duration::from_millis(INSTANCE_START_MS)).await;
         }
         Ok(())
     }
 
     async fn kill_server(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let server = &self.fleet.servers[number];
-        let Some(life) = server.life.lock().await.take() else {
+        let Some(running) = server.running.lock().await.take() else {
             return Ok(());
         };
-        let span = self.begin(Target::Server(number));
+        let span = self.begin_span(Target::Server(number));
         server.proxy.set_upstream(None);
-        life.process.close().await;
-        sleep(Duration::from_millis(LAPSE_MS)).await;
-        self.fleet.store.obey(&StoreCommand::Drop(life.id)).await?;
+        running.process.close().await;
+        sleep(Duration::from_millis(RECORD_EXPIRY_MS)).await;
+        self.fleet
+            .store
+            .send_command(&StoreCommand::Drop(running.id))
+            .await?;
         sleep(Duration::from_millis(for_ms)).await;
-        server.revive(&self.fleet.store).await?;
-        self.end(span);
+        server.start_process(&self.fleet.store).await?;
+        self.end_span(span);
         Ok(())
     }
 
     async fn freeze_server(&self, number: usize, for_ms: u64) {
         let server = &self.fleet.servers[number];
-        let span = self.begin(Target::Server(number));
+        let span = self.begin_span(Target::Server(number));
         let id = self.signal_server(server, Signal::STOP, None).await;
         sleep(Duration::from_millis(for_ms)).await;
         self.signal_server(server, Signal::CONT, id.as_deref()).await;
-        self.end(span);
+        self.end_span(span);
     }
 
     /// Signals a server if its id matches the given one, and returns its id; `None` matches any id.
-    async fn signal_server(&self, server: &Server, signal: Signal, meant: Option<&str>) -> Option<String> {
-        let life = server.life.lock().await;
-        let life = life
+    async fn signal_server(
+        &self,
+        server: &Server,
+        signal: Signal,
+        expected_id: Option<&str>,
+    ) -> Option<String> {
+        let running = server.running.lock().await;
+        let running = running
             .as_ref()
-            .filter(|life| meant.is_none_or(|meant| meant == life.id))?;
-        life.process.signal(signal);
-        Some(life.id.clone())
+            .filter(|running| expected_id.is_none_or(|expected_id| expected_id == running.id))?;
+        running.process.signal(signal);
+        Some(running.id.clone())
     }
 
     async fn retire_server(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let server = &self.fleet.servers[number];
-        let Some(life) = server.life.lock().await.take() else {
+        let Some(running) = server.running.lock().await.take() else {
             return Ok(());
         };
-        let leaving = server.spec(&life.id, true);
-        self.fleet.store.obey(&StoreCommand::Announce(leaving)).await?;
-        self.played().departures.push(Departure {
-            server: life.id.clone(),
+        let leaving = server.spec(&running.id, true);
+        self.fleet
+            .store
+            .send_command(&StoreCommand::Announce(leaving))
+            .await?;
+        self.record().departures.push(Departure {
+            server: running.id.clone(),
             at_ms: self.now_ms(),
         });
-        sleep(Duration::from_millis(FINISH_MS)).await;
-        self.replace_server(number, life, for_ms / 4).await
+        sleep(Duration::from_millis(SERVER_DRAIN_MS)).await;
+        self.replace_server(number, running, for_ms / 4).await
     }
 
     /// Drops the record of a drained server, stops it, and starts a new server after a pause.
-    async fn replace_server(&self, number: usize, life: ServerLife, pause_ms: u64) -> anyhow::Result<()> {
-        self.fleet.store.obey(&StoreCommand::Drop(life.id)).await?;
+    async fn replace_server(
+        &self,
+        number: usize,
+        running: RunningServer,
+        pause_ms: u64,
+    ) -> anyhow::Result<()> {
+        self.fleet
+            .store
+            .send_command(&StoreCommand::Drop(running.id))
+            .await?;
         // After this time, requests that began before the departure are over; the checker looks for newer ones.
-        sleep(Duration::from_millis(FINISH_MS)).await;
-        let span = self.begin(Target::Server(number));
-        life.process.close().await;
+        sleep(Duration::from_millis(SERVER_DRAIN_MS)).await;
+        let span = self.begin_span(Target::Server(number));
+        running.process.close().await;
         sleep(Duration::from_millis(pause_ms)).await;
-        self.fleet.servers[number].revive(&self.fleet.store).await?;
-        self.end(span);
+        self.fleet.servers[number]
+            .start_process(&self.fleet.store)
+            .await?;
+        self.end_span(span);
         Ok(())
     }
 
     /// Makes a server report in its answers that it is draining, while its record says that it is not.
     async fn drain_by_answers(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let server = &self.fleet.servers[number];
-        let Some(mut life) = server.life.lock().await.take() else {
+        let Some(mut running) = server.running.lock().await.take() else {
             return Ok(());
         };
-        let draining = self.begin(Target::Notices(number));
-        life.answer_with(Some(AnswerFault::Draining)).await;
-        sleep(Duration::from_millis(FINISH_MS + for_ms)).await;
-        self.end(draining);
-        self.replace_server(number, life, 0).await
+        let draining_span = self.begin_span(Target::Notices(number));
+        running.set_answer_fault(Some(AnswerFault::Draining)).await;
+        sleep(Duration::from_millis(SERVER_DRAIN_MS + for_ms)).await;
+        self.end_span(draining_span);
+        self.replace_server(number, running, 0).await
     }
 
     async fn hide_server(&self, number: usize, for_ms: u64) -> anyhow::Result<()> {
         let server = &self.fleet.servers[number];
-        let life = server.life.lock().await;
-        let Some(id) = life.as_ref().map(|life| life.id.clone()) else {
+        let running = server.running.lock().await;
+        let Some(id) = running.as_ref().map(|running| running.id.clone()) else {
             return Ok(());
         };
-        drop(life);
-        self.fleet.store.obey(&StoreCommand::Drop(id.clone())).await?;
+        drop(running);
+        self.fleet
+            .store
+            .send_command(&StoreCommand::Drop(id.clone()))
+            .await?;
         sleep(Duration::from_millis(for_ms)).await;
         // The server may have been killed or have left in the meantime.
-        let life = server.life.lock().await;
-        if life.as_ref().is_some_and(|life| life.id == id) {
-            let record = server.spec(&id, false);
-            self.fleet.store.obey(&StoreCommand::Announce(record)).await?;
+        let running = server.running.lock().await;
+        if running.as_ref().is_some_and(|running| running.id == id) {
+            let announced = server.spec(&id, false);
+            self.fleet
+                .store
+                .send_command(&StoreCommand::Announce(announced))
+                .await?;
         }
         Ok(())
     }
 
-    async fn disturb_answers(&self, number: usize, what: AnswerFault, for_ms: u64) {
-        let span = self.begin(match what {
+    async fn disturb_answers(&self, number: usize, answer_fault: AnswerFault, for_ms: u64) {
+        let span = self.begin_span(match answer_fault {
             AnswerFault::Busy(_) => Target::Notices(number),
             _ => Target::Server(number),
         });
         let place = Place::Answers(number);
-        let acting = self.begin_at(place);
-        self.set_answers(number, Some(what)).await;
+        let fault_number = self.set_newest(place);
+        self.set_answers(number, Some(answer_fault)).await;
         sleep(Duration::from_millis(for_ms)).await;
-        if self.is_newest(place, acting) {
+        if self.is_newest(place, fault_number) {
             self.set_answers(number, None).await;
         }
-        self.end(span);
+        self.end_span(span);
     }
 
-    async fn set_answers(&self, number: usize, what: Option<AnswerFault>) {
-        let mut life = self.fleet.servers[number].life.lock().await;
-        if let Some(life) = life.as_mut() {
-            life.answer_with(what).await;
+    async fn set_answers(&self, number: usize, answer_fault: Option<AnswerFault>) {
+        let mut running = self.fleet.servers[number].running.lock().await;
+        if let Some(running) = running.as_mut() {
+            running.set_answer_fault(answer_fault).await;
         }
     }
 
     async fn disturb_store(&self, trouble: StoreFaults, for_ms: u64) -> anyhow::Result<()> {
-        let span = self.begin(Target::Store);
-        let number = self.begin_at(Place::Store);
-        self.fleet.store.obey(&StoreCommand::Trouble(trouble)).await?;
+        let span = self.begin_span(Target::Store);
+        let number = self.set_newest(Place::Store);
+        self.fleet
+            .store
+            .send_command(&StoreCommand::Trouble(trouble))
+            .await?;
         sleep(Duration::from_millis(for_ms)).await;
         if self.is_newest(Place::Store, number) {
-            let well = StoreCommand::Trouble(StoreFaults::default());
-            self.fleet.store.obey(&well).await?;
+            let no_trouble = StoreCommand::Trouble(StoreFaults::default());
+            self.fleet.store.send_command(&no_trouble).await?;
         }
-        self.end(span);
+        self.end_span(span);
         Ok(())
     }
 
     /// Restores the store from an older copy, and later writes the lost records again.
-    async fn take_store_back(&self, records: usize, for_ms: u64) -> anyhow::Result<()> {
-        let span = self.begin(Target::Store);
-        self.fleet.store.obey(&StoreCommand::GoBack(records)).await?;
+    async fn roll_back_store(&self, records: usize, for_ms: u64) -> anyhow::Result<()> {
+        let span = self.begin_span(Target::Store);
+        self.fleet
+            .store
+            .send_command(&StoreCommand::GoBack(records))
+            .await?;
         sleep(Duration::from_millis(for_ms)).await;
-        self.fleet.store.obey(&StoreCommand::WriteAgain).await?;
-        self.end(span);
+        self.fleet.store.send_command(&StoreCommand::WriteAgain).await?;
+        self.end_span(span);
         Ok(())
     }
 
     /// Writes the next version; `with_new_key` gives the changing workspace another key.
     async fn configure(&self, with_new_key: bool) -> anyhow::Result<()> {
-        let _writing = self.writing.lock().await;
+        let _guard = self.configure_lock.lock().await;
         let version = self.newest_version.load(Ordering::Relaxed) + 1;
         let key = self.callers.newest_key.load(Ordering::Relaxed) + u64::from(with_new_key);
         let configuration = layout::configuration(version, key);
         // Recorded first: an instance may have the version in force before the call returns.
-        self.played().writes.push(VersionWrite {
+        self.record().writes.push(VersionWrite {
             version,
             at_ms: self.now_ms(),
             key,
@@ -390,25 +423,25 @@
         self.newest_version.store(version, Ordering::Relaxed);
         self.fleet
             .store
-            .obey(&StoreCommand::Configure(configuration))
+            .send_command(&StoreCommand::Configure(configuration))
             .await?;
         self.callers.newest_key.store(key, Ordering::Relaxed);
         Ok(())
     }
 
-    fn begin(&self, target: Target) -> usize {
-        let mut played = self.played();
-        played.faults.push(FaultSpan {
+    fn begin_span(&self, target: Target) -> usize {
+        let mut record = self.record();
+        record.faults.push(FaultSpan {
             target,
             from_ms: self.now_ms(),
             until_ms: u64::MAX,
         });
-        played.faults.len() - 1
+        record.faults.len() - 1
     }
 
-    fn end(&self, span: usize) {
+    fn end_span(&self, span: usize) {
         let now_ms = self.now_ms();
-        self.played().faults[span].until_ms = now_ms;
+        self.record().faults[span].until_ms = now_ms;
     }
 
     fn now_ms(&self) -> u64 {
@@ -416,23 +449,23 @@
     }
 
     /// Records a fault as the newest of its place, and returns its number.
-    fn begin_at(&self, place: Place) -> u64 {
-        let mut acting = self.acting();
-        acting.number += 1;
-        let number = acting.number;
-        acting.newest.insert(place, number);
+    fn set_newest(&self, place: Place) -> u64 {
+        let mut active_faults = self.active_faults();
+        active_faults.number += 1;
+        let number = active_faults.number;
+        active_faults.newest.insert(place, number);
         number
     }
 
     fn is_newest(&self, place: Place, number: u64) -> bool {
-        self.acting().newest.get(&place) == Some(&number)
+        self.active_faults().newest.get(&place) == Some(&number)
     }
 
-    fn played(&self) -> MutexGuard<'_, Played> {
-        self.played.lock().unwrap_or_else(PoisonError::into_inner)
+    fn record(&self) -> MutexGuard<'_, PlayerRecord> {
+        self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn acting(&self) -> MutexGuard<'_, Acting> {
-        self.acting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn active_faults(&self) -> MutexGuard<'_, ActiveFaults> {
+        self.active_faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/reedsail_soak/src/prober.rs
+++ b/crates/reedsail_soak/src/prober.rs
@@ -27,9 +27,9 @@
 use crate::soak_clock::SoakClock;
 
 /// Interval between two probes of an instance.
-const EVERY_MS: u64 = 200;
+const PROBE_INTERVAL_MS: u64 = 200;
 /// Timeout of a probe request.
-const ANSWER_MS: u64 = 700;
+const PROBE_TIMEOUT_MS: u64 = 700;
 
 /// Probes one instance until the task is dropped.
 pub(crate) async fn run_prober(
@@ -40,28 +40,28 @@
     probes: UnboundedSender<Probe>,
 ) {
     let addresses = InstanceAddresses::of(instance);
-    let mut known = (0, 0);
+    let mut last_seen = (0, 0);
     loop {
-        sleep(Duration::from_millis(EVERY_MS)).await;
+        sleep(Duration::from_millis(PROBE_INTERVAL_MS)).await;
         let state = &fleet.instances[instance];
         let status = get(addresses.readiness, "localhost", "/ready").await;
         state
             .is_ready
             .store(status == Some(StatusCode::OK), Ordering::Relaxed);
-        let life = state.life();
-        if known.0 != life {
-            known = (life, 1);
+        let start_count = state.start_count();
+        if last_seen.0 != start_count {
+            last_seen = (start_count, 1);
         }
         let began_ms = clock.now_ms();
         let newest = newest_version.load(Ordering::Relaxed);
-        let found = find_version(addresses.callers, known.1, newest).await;
-        let Some(version) = found.filter(|_| state.life() == life) else {
+        let found = find_version(addresses.callers, last_seen.1, newest).await;
+        let Some(version) = found.filter(|_| state.start_count() == start_count) else {
             continue;
         };
-        known.1 = version;
+        last_seen.1 = version;
         let probe = Probe {
             daemon: instance,
-            life,
+            life: start_count,
             began_ms,
             ended_ms: clock.now_ms(),
             version,
@@ -87,16 +87,16 @@
 
 /// Sends a request on a new connection; returns `None` if no answer arrives in time.
 async fn get(address: SocketAddr, host: &str, path: &str) -> Option<StatusCode> {
-    let asking = async {
-        let opening = HttpConnection::open(address, ANSWER_MS, ByteCounter::default());
-        let mut connection = opening.await.ok()?;
+    let exchange = async {
+        let connecting = HttpConnection::open(address, PROBE_TIMEOUT_MS, ByteCounter::default());
+        let mut connection = connecting.await.ok()?;
         let mut request = Request::get(path)
             .header(HOST, host)
             .body(Full::<Bytes>::default())
             .ok()?;
         let head = CallerHead {
             request_id: "probe",
-            deadline_ms: ANSWER_MS,
+            deadline_ms: PROBE_TIMEOUT_MS,
             key: None,
             prompt: None,
         };
@@ -106,5 +106,7 @@
         response.into_body().collect().await.ok()?;
         Some(status)
     };
-    timeout(Duration::from_millis(ANSWER_MS), asking).await.ok()?
+    timeout(Duration::from_millis(PROBE_TIMEOUT_MS), exchange)
+        .await
+        .ok()?
 }
--- a/crates/reedsail_soak/src/proxy.rs
+++ b/crates/reedsail_soak/src/proxy.rs
@@ -15,7 +15,7 @@
 use crate::LinkFault;
 
 /// Maximum size of a forwarded chunk.
-const PIECE_BYTES: usize = 16 << 10;
+const CHUNK_BYTES_MAX: usize = 16 << 10;
 
 /// The current state of a proxy.
 #[derive(Clone, Copy, Debug)]
@@ -48,10 +48,10 @@
             upstream,
             fault: None,
         });
-        let seen = state.subscribe();
+        let state_receiver = state.subscribe();
         let task = tokio::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
-                tokio::spawn(pass_connection(client, seen.clone()));
+                tokio::spawn(forward_connection(client, state_receiver.clone()));
             }
         });
         Ok(Self { address, state, task })
@@ -73,7 +73,7 @@
     }
 }
 
-async fn pass_connection(client: TcpStream, state: watch::Receiver<LinkState>) {
+async fn forward_connection(client: TcpStream, state: watch::Receiver<LinkState>) {
     let LinkState { upstream, fault } = *state.borrow();
     if fault == Some(LinkFault::Reset) {
         reset(&client);
@@ -90,19 +90,19 @@
     // Disables Nagle's algorithm, so that small chunks are not delayed; if this fails, they are only slower.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (client, server) = (Arc::new(client), Arc::new(server));
-    let broken = wait_for_reset(state.clone());
+    let reset_fault = wait_for_reset(state.clone());
     let to_server = Pipe::new(&client, &server, Direction::ToServer, &state);
     let to_client = Pipe::new(&server, &client, Direction::ToClient, &state);
     tokio::select! {
-        () = broken => {
+        () = reset_fault => {
             reset(&client);
             reset(&server);
         }
-        () = both(to_server, to_client) => {}
+        () = run_pipes(to_server, to_client) => {}
     }
 }
 
-async fn both(to_server: Pipe, to_client: Pipe) {
+async fn run_pipes(to_server: Pipe, to_client: Pipe) {
     tokio::join!(to_server.run(), to_client.run());
 }
 
@@ -126,17 +126,17 @@
     direction: Direction,
     state: watch::Receiver<LinkState>,
     /// Whether a chunk was lost; no later chunk may pass, since a connection never loses bytes in the middle.
-    has_lost: bool,
+    has_lost_data: bool,
 }
 
 /// What happens to a chunk.
-enum Passing {
+enum ChunkAction {
     /// The chunk is forwarded.
-    Whole,
+    Forward,
     /// The chunk is dropped, and the connection stays open.
-    Lost,
+    Drop,
     /// Half of the chunk is forwarded, and the connection is closed.
-    CutOff,
+    Truncate,
 }
 
 impl Pipe {
@@ -151,65 +151,65 @@
             to: Arc::clone(to),
             direction,
             state: state.clone(),
-            has_lost: false,
+            has_lost_data: false,
         }
     }
 
     /// Forwards chunks until one end closes, then closes the other end.
     async fn run(mut self) {
-        let mut piece = vec![0; PIECE_BYTES];
-        while let Some(length) = read(&self.from, &mut piece).await {
-            match self.judge().await {
-                Passing::Whole => {
-                    if write_all(&self.to, &piece[..length]).await.is_none() {
+        let mut chunk = vec![0; CHUNK_BYTES_MAX];
+        while let Some(length) = read(&self.from, &mut chunk).await {
+            match self.apply_fault().await {
+                ChunkAction::Forward => {
+                    if write_all(&self.to, &chunk[..length]).await.is_none() {
                         break;
                     }
                 }
-                Passing::Lost => self.has_lost = true,
-                Passing::CutOff => {
+                ChunkAction::Drop => self.has_lost_data = true,
+                ChunkAction::Truncate => {
                     // The other end sees the truncation whether or not this part arrives.
-                    let _ = write_all(&self.to, &piece[..length / 2]).await;
-                    shut(&self.from);
+                    let _ = write_all(&self.to, &chunk[..length / 2]).await;
+                    shut_down(&self.from);
                     break;
                 }
             }
         }
-        shut(&self.to);
+        shut_down(&self.to);
     }
 
     /// Waits for the duration of a delay or silence, then returns what happens to the chunk.
-    async fn judge(&mut self) -> Passing {
-        if self.has_lost {
-            return Passing::Lost;
+    async fn apply_fault(&mut self) -> ChunkAction {
+        if self.has_lost_data {
+            return ChunkAction::Drop;
         }
         loop {
             let fault = self.state.borrow_and_update().fault;
             match (fault, self.direction) {
                 (Some(LinkFault::Delay(delay_ms)), _) => {
                     sleep(Duration::from_millis(delay_ms)).await;
-                    return Passing::Whole;
+                    return ChunkAction::Forward;
                 }
                 (Some(LinkFault::Silence), _) => {
                     if self.state.changed().await.is_err() {
-                        return Passing::Lost;
+                        return ChunkAction::Drop;
                     }
                 }
                 (Some(LinkFault::LoseRequests), Direction::ToServer)
-                | (Some(LinkFault::LoseAnswers), Direction::ToClient) => return Passing::Lost,
-                (Some(LinkFault::CutTails), Direction::ToClient) => return Passing::CutOff,
+                | (Some(LinkFault::LoseAnswers), Direction::ToClient) => return ChunkAction::Drop,
+                (Some(LinkFault::CutTails), Direction::ToClient) => return ChunkAction::Truncate,
                 (Some(LinkFault::LoseRequests), Direction::ToClient)
                 | (Some(LinkFault::LoseAnswers | LinkFault::CutTails), Direction::ToServer)
-                | (Some(LinkFault::Reset) | None, _) => return Passing::Whole,
+                | (Some(LinkFault::Reset) | None, _) => return ChunkAction::Forward,
             }
         }
     }
 }
 
 /// Reads a chunk; returns `None` at the end of the stream or on an error.
-async fn read(stream: &TcpStream, piece: &mut [u8]) -> Option<usize> {
+async fn read(stream: &TcpStream, chunk: &mut [u8]) -> Option<usize> {
     loop {
         stream.readable().await.ok()?;
-        match stream.try_read(piece) {
+        match stream.try_read(chunk) {
             Ok(0) => return None,
             Ok(length) => return Some(length),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -231,6 +231,6 @@
 }
 
 /// Shuts down both directions of a connection; has no effect if it is already closed.
-fn shut(stream: &TcpStream) {
+fn shut_down(stream: &TcpStream) {
     let _ = SockRef::from(stream).shutdown(std::net::Shutdown::Both);
 }
--- a/crates/reedsail_soak/src/report.rs
+++ b/crates/reedsail_soak/src/report.rs
@@ -10,7 +10,7 @@
 use crate::Violation;
 
 /// Maximum number of violations shown on the terminal.
-const VIOLATIONS_SHOWN: usize = 10;
+const VIOLATIONS_SHOWN_MAX: usize = 10;
 
 /// The result of a soak.
 #[derive(Clone, Debug, Serialize)]
@@ -56,7 +56,7 @@
         let _ = writeln!(text, "attempts: {}", joined(&self.outcomes));
         let _ = writeln!(text, "faults: {}", joined(&self.faults));
         let _ = writeln!(text, "promises broken: {}", self.violations.len());
-        for violation in self.violations.iter().take(VIOLATIONS_SHOWN) {
+        for violation in self.violations.iter().take(VIOLATIONS_SHOWN_MAX) {
             let _ = writeln!(text, "  {}: {}", violation.promise, violation.what);
         }
         text
--- a/crates/reedsail_soak/src/server_program.rs
+++ b/crates/reedsail_soak/src/server_program.rs
@@ -49,15 +49,15 @@
 /// Number of requests that run at once; others wait.
 const SLOTS: usize = 8;
 /// Run time of a plain request.
-const PLAIN_MS: u64 = 10;
+const PLAIN_RUN_MS: u64 = 10;
 /// Prefill time before the first event.
-const READ_MS: u64 = 30;
+const PREFILL_MS: u64 = 30;
 /// Time between two events of a stream.
-const EVENT_PAUSE_MS: u64 = 15;
+const EVENT_INTERVAL_MS: u64 = 15;
 
 /// A server and its current answer fault.
 #[derive(Debug)]
-struct Server {
+struct SoakServer {
     id: String,
     streams: bool,
     fault: Mutex<Option<AnswerFault>>,
@@ -69,7 +69,7 @@
 /// # Errors
 /// Returns an error if the server cannot listen, the input cannot be read, or a line is not a fault.
 pub async fn run_server(id: String, streams: bool) -> anyhow::Result<()> {
-    let server = Arc::new(Server {
+    let server = Arc::new(SoakServer {
         id,
         streams,
         fault: Mutex::new(None),
@@ -91,7 +91,7 @@
 
 /// Handles HTTP requests for a server.
 #[derive(Clone, Debug)]
-struct ServerHandler(Arc<Server>);
+struct ServerHandler(Arc<SoakServer>);
 
 impl Handler for ServerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, StandinError> {
@@ -99,11 +99,11 @@
     }
 }
 
-impl Server {
+impl SoakServer {
     async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, StandinError> {
         let fault = *self.fault.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(head) = ServerHead::read(request.headers()) else {
-            return Ok(self.whole(StatusCode::BAD_REQUEST, "no id"));
+            return Ok(self.full_response(StatusCode::BAD_REQUEST, "no id"));
         };
         request.into_body().collect().await.map_err(|_| StandinError)?;
         if head
@@ -111,11 +111,11 @@
             .as_ref()
             .is_some_and(|expected| *expected != self.id)
         {
-            return Ok(self.not_run(MISDIRECTED));
+            return Ok(self.not_run_response(MISDIRECTED));
         }
         match fault {
-            Some(AnswerFault::NotRun) => return Ok(self.not_run(StatusCode::SERVICE_UNAVAILABLE)),
-            Some(AnswerFault::Busy(backoff_ms)) => return Ok(self.turn_away(&head, backoff_ms)),
+            Some(AnswerFault::NotRun) => return Ok(self.not_run_response(StatusCode::SERVICE_UNAVAILABLE)),
+            Some(AnswerFault::Busy(backoff_ms)) => return Ok(self.backoff_response(&head, backoff_ms)),
             _ => {}
         }
         let slot = Arc::clone(&self.slots)
@@ -129,7 +129,7 @@
             _ => {}
         }
         let mut response = if self.streams {
-            sleep(Duration::from_millis(READ_MS)).await;
+            sleep(Duration::from_millis(PREFILL_MS)).await;
             let (sender, body) = Channel::new(1);
             let (request_id, last) = (head.request_id.clone(), head.resume_after);
             tokio::spawn(async move {
@@ -137,11 +137,11 @@
                 drop(slot);
             });
             let mut response = Response::new(Either::Right(body));
-            self.sign(&mut response);
+            self.add_server_header(&mut response);
             response
         } else {
-            sleep(Duration::from_millis(PLAIN_MS)).await;
-            self.plain(&head, fault)?
+            sleep(Duration::from_millis(PLAIN_RUN_MS)).await;
+            self.plain_response(&head, fault)?
         };
         if fault == Some(AnswerFault::Draining) {
             mark_draining(response.headers_mut());
@@ -155,43 +155,47 @@
         Ok(response)
     }
 
-    fn plain(&self, head: &ServerHead, fault: Option<AnswerFault>) -> Result<Response<Body>, StandinError> {
+    fn plain_response(
+        &self,
+        head: &ServerHead,
+        fault: Option<AnswerFault>,
+    ) -> Result<Response<Body>, StandinError> {
         match fault {
-            Some(AnswerFault::Error) => Ok(self.whole(StatusCode::INTERNAL_SERVER_ERROR, "failed")),
+            Some(AnswerFault::Error) => Ok(self.full_response(StatusCode::INTERNAL_SERVER_ERROR, "failed")),
             Some(AnswerFault::Break) => Err(StandinError),
             Some(AnswerFault::Short) => {
-                let mut response = self.whole(StatusCode::OK, plain_answer(&head.request_id));
+                let mut response = self.full_response(StatusCode::OK, plain_answer(&head.request_id));
                 let headers = response.headers_mut();
                 headers.insert(CONTENT_LENGTH, HeaderValue::from_static("100000"));
                 Ok(response)
             }
-            _ => Ok(self.whole(StatusCode::OK, plain_answer(&head.request_id))),
+            _ => Ok(self.full_response(StatusCode::OK, plain_answer(&head.request_id))),
         }
     }
 
-    fn whole(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+    fn full_response(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
         let mut response = Response::new(Either::Left(Full::new(body.into())));
         *response.status_mut() = status;
-        self.sign(&mut response);
+        self.add_server_header(&mut response);
         response
     }
 
-    fn not_run(&self, status: StatusCode) -> Response<Body> {
-        let mut response = self.whole(status, "");
+    fn not_run_response(&self, status: StatusCode) -> Response<Body> {
+        let mut response = self.full_response(status, "");
         mark_not_run(response.headers_mut());
         response
     }
 
-    fn turn_away(&self, head: &ServerHead, backoff_ms: u64) -> Response<Body> {
+    fn backoff_response(&self, head: &ServerHead, backoff_ms: u64) -> Response<Body> {
         self.print_notice(head, NoticeKind::Backoff(backoff_ms));
-        let mut response = self.not_run(StatusCode::SERVICE_UNAVAILABLE);
+        let mut response = self.not_run_response(StatusCode::SERVICE_UNAVAILABLE);
         mark_answer(response.headers_mut(), &head.request_id);
         mark_backoff(response.headers_mut(), backoff_ms);
         response
     }
 
     /// Names the server in its answer, so that callers can tell it from an instance's own answers.
-    fn sign(&self, response: &mut Response<Body>) {
+    fn add_server_header(&self, response: &mut Response<Body>) {
         if let Ok(id) = HeaderValue::from_str(&self.id) {
             response.headers_mut().insert(SERVED_BY, id);
         }
@@ -235,19 +239,19 @@
 ) {
     let first = last.map_or(1, |last| last + 1);
     for number in first..=EVENTS {
-        let is_faulty = number == EVENTS / 2;
+        let is_middle = number == EVENTS / 2;
         match fault {
-            Some(AnswerFault::Error | AnswerFault::Break | AnswerFault::Short) if is_faulty => {
+            Some(AnswerFault::Error | AnswerFault::Break | AnswerFault::Short) if is_middle => {
                 // Ends the connection before the end of the body.
                 sender.abort(StandinError);
                 return;
             }
             _ => {}
         }
-        let piece = Bytes::from(event(request_id, number));
-        if sender.send_data(piece).await.is_err() {
+        let chunk = Bytes::from(event(request_id, number));
+        if sender.send_data(chunk).await.is_err() {
             return;
         }
-        sleep(Duration::from_millis(EVENT_PAUSE_MS)).await;
+        sleep(Duration::from_millis(EVENT_INTERVAL_MS)).await;
     }
 }
--- a/crates/reedsail_soak/src/soak.rs
+++ b/crates/reedsail_soak/src/soak.rs
@@ -26,8 +26,8 @@
 use crate::check;
 use crate::fleet::Fleet;
 use crate::layout;
-use crate::player::Played;
 use crate::player::Player;
+use crate::player::PlayerRecord;
 use crate::prober::run_prober;
 use crate::report::count_outcomes;
 use crate::soak_clock::SoakClock;
@@ -37,7 +37,7 @@
 /// Time for callers to finish their last attempt.
 const LAST_ATTEMPT_MS: u64 = 4_000;
 /// Interval between two memory samples.
-const MEMORY_EVERY_MS: u64 = 500;
+const MEMORY_INTERVAL_MS: u64 = 500;
 
 /// The callers: their number, workspace and pause.
 const CALLERS: [(u64, CallerProfile); 3] = [
@@ -58,7 +58,7 @@
     (
         3,
         CallerProfile {
-            workspace: layout::CHANGING,
+            workspace: layout::CHANGING_WORKSPACE,
             pause_ms: 80,
         },
     ),
@@ -87,11 +87,11 @@
     keep: Option<&Path>,
 ) -> anyhow::Result<SoakReport> {
     let folder = tempfile::tempdir().context("cannot create a temporary folder for logs")?;
-    let (lines_in, lines) = unbounded_channel();
-    let fleet = Fleet::start(programs, schedule, folder.path(), lines_in).await?;
+    let (line_sender, lines) = unbounded_channel();
+    let fleet = Fleet::start(programs, schedule, folder.path(), line_sender).await?;
     sleep(Duration::from_millis(SETTLE_MS)).await;
-    let seen = play(&fleet, schedule).await?;
-    let (history, figures) = seen.into_history(schedule, lines);
+    let observations = play(&fleet, schedule).await?;
+    let (history, figures) = observations.into_history(schedule, lines);
     let processes = fleet.processes();
     let fleet = Arc::into_inner(fleet).context("cannot stop the fleet: a task still uses it")?;
     fleet.close().await;
@@ -108,7 +108,7 @@
         violations,
     };
     if let Some(keep) = keep.filter(|_| !report.is_clean()) {
-        keep_run(
+        save_run(
             &keep.join(format!("seed-{}", schedule.seed)),
             folder.path(),
             schedule,
@@ -120,10 +120,10 @@
 }
 
 /// What was observed while a schedule ran.
-struct Seen {
+struct Observations {
     attempts: UnboundedReceiver<Attempt>,
     probes: UnboundedReceiver<Probe>,
-    played: Played,
+    player_record: PlayerRecord,
     ended_by_themselves: Vec<usize>,
     clock: SoakClock,
     peak_memory_kb: u64,
@@ -135,7 +135,7 @@
     peak_memory_kb: u64,
 }
 
-impl Seen {
+impl Observations {
     fn into_history(
         mut self,
         schedule: &Schedule,
@@ -146,10 +146,10 @@
             timeout_ms: layout::TIMEOUT_MS,
             daemons: schedule.daemons,
             attempts_max: layout::ATTEMPTS_MAX as usize,
-            faults: self.played.faults,
-            writes: self.played.writes,
-            departures: self.played.departures,
-            exits: self.played.exits,
+            faults: self.player_record.faults,
+            writes: self.player_record.writes,
+            departures: self.player_record.departures,
+            exits: self.player_record.exits,
             ended_by_themselves: self.ended_by_themselves,
             ..History::default()
         };
@@ -172,7 +172,7 @@
             }
         }
         history.probes.sort_by_key(|probe| probe.ended_ms);
-        let counts = self.played.counts.into_iter();
+        let counts = self.player_record.counts.into_iter();
         let figures = Figures {
             faults: counts.map(|(name, count)| (name.to_owned(), count)).collect(),
             peak_memory_kb: self.peak_memory_kb,
@@ -181,14 +181,14 @@
     }
 }
 
-async fn play(fleet: &Arc<Fleet>, schedule: &Schedule) -> anyhow::Result<Seen> {
-    let (attempts_in, attempts) = unbounded_channel();
-    let (probes_in, probes) = unbounded_channel();
+async fn play(fleet: &Arc<Fleet>, schedule: &Schedule) -> anyhow::Result<Observations> {
+    let (attempt_sender, attempts) = unbounded_channel();
+    let (probe_sender, probes) = unbounded_channel();
     let clock = SoakClock::start();
     let newest_version = Arc::new(AtomicU64::new(1));
     let shared = Arc::new(CallerShared {
         fleet: Arc::clone(fleet),
-        attempts: attempts_in,
+        attempts: attempt_sender,
         newest_key: AtomicU64::new(1),
         clock,
         end_ms: schedule.for_ms,
@@ -201,7 +201,7 @@
     let mut watchers = JoinSet::new();
     for instance in 0..schedule.daemons {
         let versions = Arc::clone(&newest_version);
-        let probes = probes_in.clone();
+        let probes = probe_sender.clone();
         watchers.spawn(run_prober(Arc::clone(fleet), instance, versions, clock, probes));
     }
     let peak_memory_kb = Arc::new(AtomicU64::new(0));
@@ -216,10 +216,10 @@
     .await;
     callers.shutdown().await;
     watchers.shutdown().await;
-    Ok(Seen {
+    Ok(Observations {
         attempts,
         probes,
-        played: player.take_played(),
+        player_record: player.take_record(),
         ended_by_themselves: (0..schedule.daemons)
             .filter(|instance| fleet.instances[*instance].has_ended())
             .collect(),
@@ -255,12 +255,12 @@
     loop {
         let now_kb = fleet.resident_kb().await;
         peak_kb.fetch_max(now_kb, Ordering::Relaxed);
-        sleep(Duration::from_millis(MEMORY_EVERY_MS)).await;
+        sleep(Duration::from_millis(MEMORY_INTERVAL_MS)).await;
     }
 }
 
 /// Writes the files needed to trace and replay a failure.
-fn keep_run(
+fn save_run(
     target: &Path,
     logs: &Path,
     schedule: &Schedule,
--- a/crates/reedsail_soak/tests/checker.rs
+++ b/crates/reedsail_soak/tests/checker.rs
@@ -72,7 +72,7 @@
 }
 
 /// Returns the names of the guarantees that a history violates.
-fn broken(history: &History) -> Vec<&'static str> {
+fn violated_promises(history: &History) -> Vec<&'static str> {
     check(history)
         .into_iter()
         .map(|violation| violation.promise)
@@ -80,7 +80,7 @@
 }
 
 /// Returns `count` attempts of a workspace, all with the same outcome.
-fn many(workspace: &str, count: usize, began_ms: u64, outcome: &Outcome) -> Vec<Attempt> {
+fn repeated_attempts(workspace: &str, count: usize, began_ms: u64, outcome: &Outcome) -> Vec<Attempt> {
     (0..count)
         .map(|number| Attempt {
             workspace: workspace.to_owned(),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_day_without_faults_and_with_every_answer_breaks_nothing() {
+fn a_clean_history_has_no_violation() {
     let mut history = history();
     for kind in CallKind::ALL {
         let id = format!("{kind:?}");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn running_twice_what_runs_once_is_found() {
+fn a_second_run_of_a_non_idempotent_request_is_found() {
     let mut history = history();
     for kind in CallKind::ALL {
         let id = format!("{kind:?}");
@@ -117,11 +117,11 @@
         history.runs.push(run(&id, "server-1", 10_010));
         history.runs.push(run(&id, "server-2", 10_020));
     }
-    assert_eq!(broken(&history), ["at most once", "at most once"]);
+    assert_eq!(violated_promises(&history), ["at most once", "at most once"]);
 }
 
 #[test]
-fn more_tries_than_allowed_are_found() {
+fn more_runs_than_the_attempt_limit_are_found() {
     let mut history = history();
     history
         .attempts
@@ -129,20 +129,20 @@
     for number in 0..4 {
         history.runs.push(run("a", "server-1", 10_010 + number));
     }
-    assert_eq!(broken(&history), ["at most once"]);
+    assert_eq!(violated_promises(&history), ["at most once"]);
 }
 
 #[test]
-fn a_run_that_was_denied_is_found() {
+fn a_run_reported_as_not_run_is_found() {
     let mut history = history();
     let denied = Outcome::NotRun { status: 503 };
     history.attempts.push(attempt("a", CallKind::Lookup, denied));
     history.runs.push(run("a", "server-1", 10_010));
-    assert_eq!(broken(&history), ["not run is true"]);
+    assert_eq!(violated_promises(&history), ["not run is true"]);
 }
 
 #[test]
-fn another_workspace_and_a_key_shown_to_a_server_are_found() {
+fn a_wrong_workspace_or_a_key_sent_to_a_server_is_found() {
     let mut history = history();
     history
         .attempts
@@ -159,21 +159,21 @@
         ..run("b", "server-1", 10_010)
     });
     assert_eq!(
-        broken(&history),
+        violated_promises(&history),
         ["own workspace, no key", "own workspace, no key"]
     );
 }
 
 #[test]
-fn an_answer_that_is_not_whole_is_found() {
+fn an_incomplete_answer_is_found() {
     let mut history = history();
     let wrong = Outcome::Wrong("10 bytes of 20".to_owned());
     history.attempts.push(attempt("a", CallKind::Lookup, wrong));
-    assert_eq!(broken(&history), ["whole and own answers"]);
+    assert_eq!(violated_promises(&history), ["whole and own answers"]);
 }
 
 #[test]
-fn a_cut_or_silent_request_is_found_unless_its_daemon_was_struck() {
+fn a_cut_or_silent_request_is_found_unless_its_instance_had_a_fault() {
     let cut = Outcome::Cut { had_begun: false };
     for (outcome, promise) in [
         (cut, "a final answer for each request"),
@@ -183,44 +183,44 @@
         history
             .attempts
             .push(attempt("a", CallKind::Lookup, outcome.clone()));
-        assert_eq!(broken(&history), [promise]);
+        assert_eq!(violated_promises(&history), [promise]);
         // A fault of another instance or of a server excuses nothing.
         history.faults = vec![
             fault(Target::Daemon(1), 9_000, 11_000),
             fault(Target::Server(0), 9_000, 11_000),
         ];
-        assert_eq!(broken(&history), [promise]);
+        assert_eq!(violated_promises(&history), [promise]);
         history.faults.push(fault(Target::Daemon(0), 9_000, 10_050));
-        assert_eq!(broken(&history), [""; 0]);
+        assert_eq!(violated_promises(&history), [""; 0]);
     }
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_found_unless_a_server_was_struck() {
+fn a_truncated_answer_is_found_unless_a_server_had_a_fault() {
     let mut history = history();
     let cut = Outcome::Cut { had_begun: true };
     history.attempts.push(attempt("a", CallKind::Chat, cut));
-    assert_eq!(broken(&history), ["no answer breaks off"]);
+    assert_eq!(violated_promises(&history), ["no answer breaks off"]);
     history.faults = vec![fault(Target::Stop(0), 9_000, 11_000)];
-    assert_eq!(broken(&history), ["planned work cuts nothing"]);
+    assert_eq!(violated_promises(&history), ["planned work cuts nothing"]);
     history.faults.push(fault(Target::Server(0), 9_000, 10_050));
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_stream_that_runs_into_its_time_is_no_break() {
+fn a_stream_cut_by_its_timeout_is_no_violation() {
     let mut history = history();
     let cut = Outcome::Cut { had_begun: true };
     let mut stream = attempt("a", CallKind::Chat, cut);
     stream.ended_ms = stream.began_ms + 1_500;
     history.attempts.push(stream);
-    assert_eq!(broken(&history), ["no answer breaks off"]);
+    assert_eq!(violated_promises(&history), ["no answer breaks off"]);
     history.attempts[0].ended_ms += 500;
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_process_that_has_just_started_may_end_by_the_signal() {
+fn a_process_that_has_just_started_may_be_ended_by_the_signal() {
     let mut history = history();
     history.exits = vec![Exit {
         daemon: 0,
@@ -229,13 +229,16 @@
         ended_ms: Some(5_000),
         code: None,
     }];
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
     history.exits[0].started_ms = 1_000;
-    assert_eq!(broken(&history), ["a planned stop ends well and in time"]);
+    assert_eq!(
+        violated_promises(&history),
+        ["a planned stop ends well and in time"]
+    );
 }
 
 #[test]
-fn a_stop_that_cuts_more_than_crossing_requests_is_found() {
+fn a_stop_that_cuts_too_many_in_flight_requests_is_found() {
     let mut history = history();
     history.faults = vec![fault(Target::Stop(0), 9_000, 11_000)];
     history.exits = vec![Exit {
@@ -246,47 +249,47 @@
         code: Some(0),
     }];
     let cut = Outcome::Cut { had_begun: false };
-    history.attempts = many("large", 3, 9_990, &cut);
-    assert_eq!(broken(&history), [""; 0]);
-    history.attempts = many("large", 4, 9_990, &cut);
-    assert_eq!(broken(&history), ["planned work cuts nothing"]);
-    history.attempts = many("large", 4, 10_001, &cut);
-    assert_eq!(broken(&history), [""; 0]);
+    history.attempts = repeated_attempts("large", 3, 9_990, &cut);
+    assert_eq!(violated_promises(&history), [""; 0]);
+    history.attempts = repeated_attempts("large", 4, 9_990, &cut);
+    assert_eq!(violated_promises(&history), ["planned work cuts nothing"]);
+    history.attempts = repeated_attempts("large", 4, 10_001, &cut);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_version_that_goes_backwards_is_found_within_one_life() {
+fn a_version_that_goes_backwards_without_a_restart_is_found() {
     let mut history = history();
     history.probes = vec![probe(1, 1_000, 3), probe(1, 2_000, 2)];
-    assert_eq!(broken(&history), ["configuration never backwards"]);
+    assert_eq!(violated_promises(&history), ["configuration never backwards"]);
     history.probes[1].life = 2;
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_version_that_is_late_is_found_unless_the_store_was_struck() {
+fn a_late_version_is_found_unless_the_store_had_a_fault() {
     let mut history = history();
     history.writes = vec![write(1, 0, 1), write(2, 5_000, 1)];
     history.probes = vec![probe(1, 11_500, 1)];
-    assert_eq!(broken(&history), ["configuration in force in time"]);
+    assert_eq!(violated_promises(&history), ["configuration in force in time"]);
     history.faults = vec![fault(Target::Store, 4_000, 6_000)];
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_key_in_force_after_it_was_taken_away_is_found() {
+fn an_accepted_revoked_key_is_found() {
     let mut history = history();
     history.writes = vec![write(1, 0, 1), write(2, 5_000, 2)];
     history.probes = vec![probe(1, 9_000, 2)];
-    history.attempts = many("changing", 1, 10_000, &Outcome::Answered);
+    history.attempts = repeated_attempts("changing", 1, 10_000, &Outcome::Answered);
     history.attempts[0].key = 1;
-    assert_eq!(broken(&history), ["no key after it was taken away"]);
+    assert_eq!(violated_promises(&history), ["no key after it was taken away"]);
     history.attempts[0].key = 2;
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_valid_key_that_is_refused_is_found() {
+fn a_refused_valid_key_is_found() {
     let mut history = history();
     history.writes = vec![write(1, 0, 1), write(2, 5_000, 2)];
     history.probes = vec![probe(1, 9_000, 2)];
@@ -294,30 +297,33 @@
         status: 401,
         by_server: false,
     };
-    history.attempts = many("changing", 1, 10_000, &refused);
+    history.attempts = repeated_attempts("changing", 1, 10_000, &refused);
     history.attempts[0].key = 2;
-    assert_eq!(broken(&history), ["no valid key refused"]);
+    assert_eq!(violated_promises(&history), ["no valid key refused"]);
     history.attempts[0].key = 1;
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn work_for_a_server_that_left_is_found() {
+fn a_request_for_a_server_that_left_is_found() {
     let mut history = history();
     history.departures = vec![Departure {
         server: "server-1".to_owned(),
         at_ms: 4_000,
     }];
     history.runs = vec![run("a", "server-1", 8_900)];
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
     history.runs.push(run("b", "server-1", 9_100));
-    assert_eq!(broken(&history), ["nothing new for a server that left"]);
+    assert_eq!(
+        violated_promises(&history),
+        ["nothing new for a server that left"]
+    );
     history.faults = vec![fault(Target::StoreLink(1), 3_000, 9_000)];
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_stop_that_ends_badly_or_late_is_found() {
+fn a_failed_or_late_stop_is_found() {
     let exit = |ended_ms, code| Exit {
         daemon: 0,
         started_ms: 0,
@@ -332,37 +338,45 @@
     ] {
         let mut history = history();
         history.exits = vec![bad];
-        assert_eq!(broken(&history), ["a planned stop ends well and in time"]);
+        assert_eq!(
+            violated_promises(&history),
+            ["a planned stop ends well and in time"]
+        );
     }
     let mut history = history();
     history.exits = vec![exit(Some(9_000), Some(0))];
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 #[test]
-fn a_daemon_that_ended_by_itself_is_found() {
+fn an_instance_that_exited_by_itself_is_found() {
     let mut history = history();
     history.ended_by_themselves = vec![1];
-    assert_eq!(broken(&history), ["a daemon ends only when it is told to"]);
+    assert_eq!(
+        violated_promises(&history),
+        ["a daemon ends only when it is told to"]
+    );
 }
 
 #[test]
-fn a_small_workspace_that_is_starved_is_found() {
+fn a_starved_small_workspace_is_found() {
     let mut history = history();
     let refused = Outcome::NotRun { status: 429 };
-    history.attempts = many("large", 100, 10_000, &Outcome::Answered);
-    history.attempts.extend(many("small", 40, 10_000, &refused));
-    assert_eq!(broken(&history), ["each workspace its part"]);
+    history.attempts = repeated_attempts("large", 100, 10_000, &Outcome::Answered);
+    history
+        .attempts
+        .extend(repeated_attempts("small", 40, 10_000, &refused));
+    assert_eq!(violated_promises(&history), ["each workspace its part"]);
 }
 
 #[test]
-fn a_fleet_that_stays_unwell_is_found() {
+fn a_fleet_that_does_not_recover_is_found() {
     let mut history = history();
     let refused = Outcome::NotRun { status: 503 };
-    history.attempts = many("small", 10, 28_000, &refused);
-    assert_eq!(broken(&history), ["well again in time"]);
+    history.attempts = repeated_attempts("small", 10, 28_000, &refused);
+    assert_eq!(violated_promises(&history), ["well again in time"]);
     history.faults = vec![fault(Target::Daemon(0), 20_000, 26_000)];
-    assert_eq!(broken(&history), [""; 0]);
+    assert_eq!(violated_promises(&history), [""; 0]);
 }
 
 fn notice(id: &str, at_ms: u64, kind: NoticeKind) -> Notice {
@@ -388,29 +402,29 @@
 }
 
 #[test]
-fn a_request_for_a_server_that_said_it_drains_is_found() {
+fn a_request_for_a_draining_server_is_found() {
     let promise = "nothing for a server that said it drains";
     let mut history = history();
     add_run(&mut history, "told", 0, 0);
     history.notices.push(notice("told", 10_040, NoticeKind::Draining));
     add_run(&mut history, "soon", 0, 1_900);
     add_run(&mut history, "elsewhere", 1, 3_000);
-    assert_eq!(broken(&history), Vec::<&str>::new());
+    assert_eq!(violated_promises(&history), Vec::<&str>::new());
     add_run(&mut history, "late", 0, 2_100);
-    assert_eq!(broken(&history), [promise]);
+    assert_eq!(violated_promises(&history), [promise]);
     history.faults.push(fault(Target::Daemon(0), 11_000, 11_500));
-    assert_eq!(broken(&history), Vec::<&str>::new());
+    assert_eq!(violated_promises(&history), Vec::<&str>::new());
 }
 
 #[test]
-fn requests_for_a_server_that_asked_for_time_are_found() {
+fn requests_for_a_server_that_asked_for_backoff_are_found() {
     let promise = "time for a server that asked for it";
     let mut history = history();
-    let told = Attempt {
+    let notified = Attempt {
         ended_ms: 10_020,
         ..attempt("told", CallKind::Lookup, Outcome::NotRun { status: 503 })
     };
-    history.attempts.push(told);
+    history.attempts.push(notified);
     history
         .notices
         .push(notice("told", 10_010, NoticeKind::Backoff(3_000)));
@@ -418,9 +432,9 @@
         add_run(&mut history, &format!("allowed-{number}"), 0, after_ms);
     }
     add_run(&mut history, "elsewhere", 1, 2_500);
-    assert_eq!(broken(&history), Vec::<&str>::new());
+    assert_eq!(violated_promises(&history), Vec::<&str>::new());
     add_run(&mut history, "third", 0, 2_500);
-    assert_eq!(broken(&history), [promise]);
+    assert_eq!(violated_promises(&history), [promise]);
     history.faults.push(fault(Target::Server(1), 9_000, 11_500));
-    assert_eq!(broken(&history), Vec::<&str>::new());
+    assert_eq!(violated_promises(&history), Vec::<&str>::new());
 }
--- a/crates/reedsail_soak/tests/schedule.rs
+++ b/crates/reedsail_soak/tests/schedule.rs
@@ -17,14 +17,14 @@
         assert!(!schedule.faults.is_empty());
         for fault in &schedule.faults {
             assert!(fault.at_ms + fault.for_ms <= schedule.for_ms - 8_000, "{fault:?}");
-            let (instance, server) = parts(fault.kind);
+            let (instance, server) = target_numbers(fault.kind);
             assert!(instance < schedule.daemons && server < schedule.servers(), "{fault:?}");
         }
     }
 }
 
 /// Returns the instance and the server that a fault targets.
-fn parts(kind: FaultKind) -> (usize, usize) {
+fn target_numbers(kind: FaultKind) -> (usize, usize) {
     match kind {
         FaultKind::Link(Link::Callers(instance) | Link::Store(instance), _)
         | FaultKind::KillDaemon(instance)
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_kept_schedule_reads_as_it_was() {
+fn a_stored_schedule_reads_back_unchanged() {
     let schedule = draw_schedule(7, 30_000, Some(4));
     let text = serde_json::to_string_pretty(&schedule).unwrap();
     let read: Schedule = serde_json::from_str(&text).unwrap();
