--- a/crates/reedsail_soak/src/checker.rs
+++ b/crates/reedsail_soak/src/checker.rs
@@ -12,7 +12,7 @@
 
 /// A version must be in force after this time on an instance without faults.
 const IN_FORCE_WITHIN_MS: u64 = 6_000;
-/// A server must get no new request after this time from the write of its departure.
+/// A server must get no new request once this time has passed since its departure was written.
 const LEAVING_WITHIN_MS: u64 = 5_000;
 /// Violations are excused for this time after a fault was undone.
 pub(crate) const FAULT_GRACE_MS: u64 = 2_500;
@@ -45,10 +45,10 @@
 /// The workspace whose key changes.
 const CHANGING_WORKSPACE: &str = "changing";
 
-/// A violation of a guarantee.
+/// A violation of a guarantee; reports call a guarantee a promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The guarantee.
+    /// The violated guarantee, by its name in reports.
     pub promise: &'static str,
     /// What was observed, with ids and times.
     pub what: String,
