--- a/crates/reedsail_core/src/lib.rs
+++ b/crates/reedsail_core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Types that both programs of the project share: keys, times, the closed list of error kinds, and the outcome of a
-//! failed request.
+//! Types that `reedsail-router` and `reedsaild` share: keys, times, the fixed list of error kinds, and the outcome of
+//! a failed request.
 //!
-//! Pure: no I/O, no clock, no runtime. Owns only names and depends on no other crate of the project.
+//! Pure: no I/O, no clock, no runtime. Depends on no other crate of the project.
 
 mod error_kind;
 mod fingerprint;
--- a/crates/reedsail_core/src/milliseconds.rs
+++ b/crates/reedsail_core/src/milliseconds.rs
@@ -1,9 +1,8 @@
-//! Durations as external records write them.
+//! The form that durations have in external records.
 
 use serde::Deserialize;
 
-/// A duration in milliseconds. In a record, a duration may have a fraction, which is rounded up, and must not be
-/// negative.
+/// A duration in milliseconds. In a record, it is a non-negative number; a fraction is rounded up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct Milliseconds(pub u64);
--- a/crates/reedsail_core/src/outcome.rs
+++ b/crates/reedsail_core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a failed request; types ensure that it does not claim too much.
+//! The outcome of a failed request; types ensure that a request that may have run is not reported as not run.
 //!
 //! A request of which no byte was sent is an [`Unsent`]. It becomes a [`Sent`] before the first byte is written, and
 //! becomes an [`Unsent`] again only if nothing of it was written. Only an [`Unsent`] can end as "not run".
@@ -70,7 +70,8 @@
         Self(())
     }
 
-    /// Ends the request unsent. The kind decides what is reported about an earlier call with the same key.
+    /// Ends the request unsent. The kind determines the reported [`RanState`], which may be that of an earlier call
+    /// with the same idempotency key.
     pub fn refuse(self, kind: ErrorKind) -> Failure {
         Failure {
             kind,
--- a/crates/reedsail_daemon/src/claims/dispatcher.rs
+++ b/crates/reedsail_daemon/src/claims/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Batches this daemon's claims and sends them to the writer of their shard.
+//! Batches this daemon's claims and claim ends, and sends them to the writer of their shard.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -27,19 +27,21 @@
 
 /// How long jobs are gathered before they are sent to the writers.
 const GATHER_WINDOW_MS: u64 = 5;
-/// The maximum number of jobs received at once.
-const ROUND_JOBS_MAX: usize = 4_096;
+/// The maximum number of jobs that start a batch. Jobs that arrive during [`GATHER_WINDOW_MS`] are added
+/// without a limit.
+const BATCH_START_JOBS_MAX: usize = 4_096;
 /// How many other daemons are tried before this daemon writes the claims itself.
 const REMOTE_WRITERS_TRIED_MAX: usize = 1;
 /// The maximum length of a writer's queue, in jobs.
 const WRITER_QUEUE_MAX: usize = 4_096;
 
-/// The claims and ends of one round that belong to one shard.
+/// The claims and claim ends of one batch that belong to one shard.
 #[derive(Debug, Default)]
 struct ShardPart {
-    /// The index of each claim in the original list.
+    /// The index of each claim in the list passed to [`ClaimRouter::write_here`], which alone uses it.
     indices: Vec<usize>,
     claims: Vec<ClaimRequest>,
+    /// Where the verdict on each claim is sent. Used by [`run_dispatcher`] alone.
     replies: Vec<oneshot::Sender<ClaimVerdict>>,
     ends: Vec<ClaimEnd>,
 }
@@ -54,7 +56,7 @@
 }
 
 impl<P: SharePolicy> ClaimRouter<P> {
-    /// Starts this daemon's writers, one for each shard. An idle writer costs nothing.
+    /// Starts this daemon's writers, one for each shard. An idle writer only waits on its queue.
     pub(crate) fn start(
         links: Links<P>,
         domain_daemons: watch::Receiver<Vec<PeerAddress>>,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Writes claims and ends with the writers of this daemon, for itself or for a peer.
+    /// Writes claims and claim ends with the writers of this daemon, for itself or for a peer.
     pub(crate) async fn write_here(
         &self,
         claims: Vec<ClaimRequest>,
@@ -94,7 +96,7 @@
             parts.entry(self.shard_of(end.key)).or_default().ends.push(end);
         }
         for (shard, part) in parts {
-            let (reply, answer) = oneshot::channel();
+            let (reply, verdicts_receiver) = oneshot::channel();
             let job = WriterJob {
                 claims: part.claims,
                 ends: part.ends,
@@ -103,8 +105,8 @@
             if self.writers[shard].send(job).await.is_err() {
                 continue;
             }
-            let answers = answer.await.unwrap_or_default();
-            for (index, verdict) in part.indices.into_iter().zip(answers) {
+            let shard_verdicts = verdicts_receiver.await.unwrap_or_default();
+            for (index, verdict) in part.indices.into_iter().zip(shard_verdicts) {
                 verdicts[index] = verdict;
             }
         }
@@ -117,7 +119,7 @@
     }
 
     /// Sends one shard's claims to its writer, and to the next writer in rank if that one fails. Both get the
-    /// same nonces, so an append by the first writer that took effect does no harm.
+    /// same nonces, so it is harmless if the first writer's append took effect.
     async fn write_shard(
         &self,
         shard: usize,
@@ -137,6 +139,7 @@
             };
             match self.links.claim(writer, claims, ends).await {
                 Ok(verdicts) => return verdicts,
+                // Only a failed connection rules out that the peer appended the claims.
                 Err(error) => may_be_recorded |= !matches!(error, reedsail_wire::LinkError::Connect(_)),
             }
         }
@@ -157,14 +160,14 @@
     router: ClaimRouter<P>,
     mut jobs: mpsc::Receiver<ClaimJob>,
 ) {
-    let mut round = Vec::new();
-    while jobs.recv_many(&mut round, ROUND_JOBS_MAX).await > 0 {
+    let mut batch = Vec::new();
+    while jobs.recv_many(&mut batch, BATCH_START_JOBS_MAX).await > 0 {
         sleep(Duration::from_millis(GATHER_WINDOW_MS)).await;
         while let Ok(job) = jobs.try_recv() {
-            round.push(job);
+            batch.push(job);
         }
         let mut parts: HashMap<usize, ShardPart> = HashMap::new();
-        for job in round.drain(..) {
+        for job in batch.drain(..) {
             match job {
                 ClaimJob::Claim(request, reply) => {
                     let part = parts.entry(router.shard_of(request.key)).or_default();
--- a/crates/reedsail_daemon/src/control/messages.rs
+++ b/crates/reedsail_daemon/src/control/messages.rs
@@ -13,12 +13,13 @@
 /// The address where a peer accepts calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PeerAddress {
+    /// The hash of `instance`.
     pub(crate) name: NameHash,
     pub(crate) instance: String,
     pub(crate) address: SocketAddr,
 }
 
-/// An action that the actor requests from the link tasks.
+/// An action that the actor requests from the tasks that call peers and the platform.
 #[derive(Debug)]
 pub(crate) enum LinkAction {
     /// Sends a report to a peer.
@@ -39,14 +40,14 @@
 /// A report from a peer.
 pub(super) struct PeerReport(pub(super) Report);
 
-/// The outcome of a report to a peer.
+/// The outcome of a report to a peer: the peer's grant or an error.
 pub(super) struct ExchangeDone {
     pub(super) peer: NameHash,
     pub(super) sent_at: TimeMs,
     pub(super) outcome: Result<Grant, LinkError>,
 }
 
-/// A page read from the bundle stream.
+/// A page read from the bundle stream of the log.
 pub(super) struct LogRead(pub(super) LogPage);
 
 /// Whether the log is reachable.
--- a/crates/reedsail_daemon/src/settings_reader.rs
+++ b/crates/reedsail_daemon/src/settings_reader.rs
@@ -69,6 +69,7 @@
     const POLICIES: &[(&str, PolicyChoice)] = &[
         ("fleet", PolicyChoice::Fleet),
         ("fifo", PolicyChoice::Fifo),
+        // The number of daemons is read from `split_daemons` below.
         ("split", PolicyChoice::Split { daemons: 0 }),
     ];
     let daemons = top
@@ -116,7 +117,10 @@
         let (Some(name), Some(role), Some(key)) = (name, role, key) else {
             continue;
         };
-        if keys.iter().any(|known| known.name == name && known.role == role) {
+        if keys
+            .iter()
+            .any(|earlier| earlier.name == name && earlier.role == role)
+        {
             value.fault(format!(
                 "`{name}` already has a key with this role; remove one of them"
             ));
@@ -158,7 +162,7 @@
     peers
 }
 
-/// Reads an optional number, or returns its default.
+/// Reads an optional number. Returns `default` if the key is missing, and `None` if its value is invalid.
 fn number_or<N>(
     mapping: &mut Mapping<'_>,
     key: &'static str,
@@ -178,15 +182,15 @@
     let mut mapping = value.mapping()?;
     let defaults = LimitSettings::default();
     let map = &mut mapping;
-    let header = number_or(
+    let header_max = number_or(
         map,
         "header_bytes_max",
         8_192..=1 << 20,
         defaults.header_bytes_max,
     );
-    let body = number_or(map, "body_bytes_max", 1..=1 << 30, defaults.body_bytes_max);
-    let answer = number_or(map, "answer_bytes_max", 1..=1 << 30, defaults.answer_bytes_max);
-    let deadline = number_or(
+    let body_max = number_or(map, "body_bytes_max", 1..=1 << 30, defaults.body_bytes_max);
+    let answer_max = number_or(map, "answer_bytes_max", 1..=1 << 30, defaults.answer_bytes_max);
+    let deadline_default = number_or(
         map,
         "deadline_default_ms",
         1..=DURATION_MAX_MS,
@@ -198,24 +202,24 @@
         1..=DURATION_MAX_MS,
         defaults.deadline_max_ms,
     );
-    let stall = number_or(map, "stall_max_ms", 1..=DURATION_MAX_MS, defaults.stall_max_ms);
-    let notice = number_or(
+    let stall_max = number_or(map, "stall_max_ms", 1..=DURATION_MAX_MS, defaults.stall_max_ms);
+    let stop_notice = number_or(
         map,
         "stop_notice_ms",
         0..=DURATION_MAX_MS,
         defaults.stop_notice_ms,
     );
-    let stop = number_or(map, "stop_max_ms", 0..=DURATION_MAX_MS, defaults.stop_max_ms);
+    let stop_max = number_or(map, "stop_max_ms", 0..=DURATION_MAX_MS, defaults.stop_max_ms);
     mapping.close();
     Some(LimitSettings {
-        header_bytes_max: header?,
-        body_bytes_max: body?,
-        answer_bytes_max: answer?,
-        deadline_default_ms: deadline?,
+        header_bytes_max: header_max?,
+        body_bytes_max: body_max?,
+        answer_bytes_max: answer_max?,
+        deadline_default_ms: deadline_default?,
         deadline_max_ms: deadline_max?,
-        stall_max_ms: stall?,
-        stop_notice_ms: notice?,
-        stop_max_ms: stop?,
+        stall_max_ms: stall_max?,
+        stop_notice_ms: stop_notice?,
+        stop_max_ms: stop_max?,
     })
 }
 
@@ -231,13 +235,13 @@
     );
     let lease = number_or(map, "lease_ms", 500..=DURATION_MAX_MS, defaults.lease_ms);
     let horizon = number_or(map, "horizon_ms", 100..=DURATION_MAX_MS, defaults.horizon_ms);
-    let clamp = number_or(
+    let rejoin_clamp = number_or(
         map,
         "rejoin_clamp_ms",
         0..=DURATION_MAX_MS,
         defaults.rejoin_clamp_ms,
     );
-    let call = number_or(map, "call_limit_ms", 10..=60_000, defaults.call_limit_ms);
+    let call_limit = number_or(map, "call_limit_ms", 10..=60_000, defaults.call_limit_ms);
     let checkpoint = number_or(
         map,
         "checkpoint_every_ms",
@@ -249,8 +253,8 @@
         budget_bytes_per_s: budget?,
         lease_ms: lease?,
         horizon_ms: horizon?,
-        rejoin_clamp_ms: clamp?,
-        call_limit_ms: call?,
+        rejoin_clamp_ms: rejoin_clamp?,
+        call_limit_ms: call_limit?,
         checkpoint_every_ms: checkpoint?,
     })
 }
--- a/crates/reedsail_daemon/src/shared.rs
+++ b/crates/reedsail_daemon/src/shared.rs
@@ -27,7 +27,7 @@
 use crate::stage::StageCell;
 use crate::view::View;
 
-/// Counters of control bytes by kind. Bytes of requests and answers are not counted.
+/// Counters of the bytes of control traffic, by kind. Bytes of requests and answers are not counted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ControlBytes {
     /// Calls to other daemons.
@@ -68,7 +68,7 @@
     pub(crate) claim_jobs: mpsc::Sender<ClaimJob>,
     pub(crate) incarnation: u32,
     pub(crate) digest_in_force: Mutex<String>,
-    rates: Mutex<HashMap<WorkspaceKey, RateLimit>>,
+    rate_limits: Mutex<HashMap<WorkspaceKey, RateLimit>>,
 }
 
 impl<P: SharePolicy> Shared<P> {
@@ -93,7 +93,7 @@
             claim_jobs,
             incarnation: rand::random::<u32>().max(1),
             digest_in_force: Mutex::default(),
-            rates: Mutex::default(),
+            rate_limits: Mutex::default(),
         }
     }
 
@@ -105,27 +105,29 @@
     /// next request in milliseconds as the error.
     pub(crate) fn take_rate_token(&self, workspace: WorkspaceKey, per_s: f64) -> Result<(), u64> {
         let now = self.clock.now();
-        let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
-        let limit = rates
+        let mut rate_limits = self.rate_limits.lock().unwrap_or_else(PoisonError::into_inner);
+        let limit = rate_limits
             .entry(workspace)
             .or_insert_with(|| RateLimit::new(per_s, per_s.max(1.0), now));
         limit.set_rate(per_s);
         limit.take(1.0, now)
     }
 
+    /// Returns the number of queued requests of a workspace at a service, or 0 if either is unknown.
     pub(crate) fn queued(&self, service: &str, workspace: &str) -> u32 {
         let view = self.view.load();
         let key = self.with_directory(|directory| directory.workspaces.find(NameHash::of(workspace)));
-        let found = view.services().find(|(_, found)| found.name == service);
+        let found = view.services().find(|(_, candidate)| candidate.name == service);
         match (found, key) {
             (Some((_, found)), Some(key)) => found.cell.lock().queue().queued_of(key),
             _ => 0,
         }
     }
 
+    /// Returns the numbers of leased slots and of slots in use of a service, or zeros if it is unknown.
     pub(crate) fn slot_counts(&self, service: &str) -> (u32, u32) {
         let view = self.view.load();
-        let found = view.services().find(|(_, found)| found.name == service);
+        let found = view.services().find(|(_, candidate)| candidate.name == service);
         found.map_or((0, 0), |(_, found)| found.cell.lock().slot_counts())
     }
 
--- a/crates/reedsail_daemon/src/traffic/call.rs
+++ b/crates/reedsail_daemon/src/traffic/call.rs
@@ -28,12 +28,13 @@
 use crate::view::ServiceView;
 use crate::view::View;
 
-/// The path of model services.
+/// The path of chat requests. The model in the body determines the service.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// How far the timestamp of a key may be ahead of this daemon's clock.
+/// How far the timestamp of an idempotency key may be ahead of this daemon's clock.
 const KEY_CLOCK_SKEW_MAX_MS: u64 = 60_000;
 
-/// The reason why a request is refused before it is queued, and the delay until a retry, if known.
+/// The reason why a request is refused before it is queued, and the delay until a retry in
+/// milliseconds, if known.
 pub(crate) type Refusal = (ErrorKind, Option<u64>);
 
 /// A validated request, ready to be queued.
@@ -47,11 +48,13 @@
     pub(crate) admitted_at: TimeMs,
     pub(crate) deadline: TimeMs,
     pub(crate) repeat: Repeat,
+    /// The idempotency key. Only a call that must not be repeated has one.
     pub(crate) key: Option<ClaimKey>,
     pub(crate) method: Method,
     pub(crate) path_and_query: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
+    /// The hash of the prompt's first bytes, by which servers with a matching prefix cache are found.
     pub(crate) prefix: Option<u64>,
     /// Whether the call is a chat whose caller requested the answer as a stream of events.
     pub(crate) wants_stream: bool,
@@ -136,6 +139,7 @@
 /// The service of a call, with the properties read from its body.
 struct SelectedService<P: SharePolicy> {
     service: Arc<ServiceView<P>>,
+    /// See [`Call::prefix`].
     prefix: Option<u64>,
     wants_stream: bool,
 }
@@ -180,6 +184,7 @@
     match shared.stage.get() {
         Stage::Starting => Err((ErrorKind::NotReady, None)),
         Stage::Closing => Err((ErrorKind::Stopping, None)),
+        // Version 0: no bundle is in force yet.
         Stage::Ready | Stage::Draining if view.version == 0 => Err((ErrorKind::NotReady, None)),
         Stage::Ready | Stage::Draining => Ok(()),
     }
@@ -192,8 +197,8 @@
     Ok(())
 }
 
-/// Reads the key of a call that must not be repeated. The key is a `UUIDv7` (RFC 9562) and so includes its
-/// creation time, by which keys older than the retention of the log are detected.
+/// Reads the idempotency key of a call that must not be repeated. The key is a `UUIDv7` (RFC 9562) and so
+/// includes its creation time, by which keys older than the retention of the log are rejected.
 fn read_key(headers: &HeaderMap, rule: KeyRule, retention_ms: u64) -> Result<Option<ClaimKey>, Refusal> {
     let Some(value) = headers::idempotency_key(headers) else {
         return match rule {
--- a/crates/reedsail_daemon/src/traffic/claim.rs
+++ b/crates/reedsail_daemon/src/traffic/claim.rs
@@ -1,4 +1,4 @@
-//! Claims the key of a call before the call runs, and records its end.
+//! Claims the idempotency key of a call before the call runs, and records the end of the claim.
 
 use reedsail_core::ErrorKind;
 use reedsail_core::Failure;
@@ -16,7 +16,8 @@
 use crate::claims::ClaimJob;
 use crate::shared::Shared;
 
-/// A claim that a call holds on its key. The end of the call must be recorded with [`HeldClaim::close`].
+/// A claim that a call holds on its idempotency key. The end of the call must be recorded with
+/// [`HeldClaim::close`].
 #[derive(Debug)]
 pub(crate) struct HeldClaim {
     key: ClaimKey,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Claims the key of a call, if it has one.
+/// Claims the idempotency key of a call, if it has one.
 pub(crate) async fn claim_key<P: SharePolicy>(
     shared: &Shared<P>,
     call: &Call<P>,
@@ -62,7 +63,7 @@
 }
 
 async fn request_claim<P: SharePolicy>(shared: &Shared<P>, request: ClaimRequest) -> ClaimVerdict {
-    let (reply, answer) = oneshot::channel();
+    let (reply, verdict_receiver) = oneshot::channel();
     if shared
         .claim_jobs
         .send(ClaimJob::Claim(request, reply))
@@ -71,9 +72,10 @@
     {
         return ClaimVerdict::Unavailable;
     }
-    answer.await.unwrap_or(ClaimVerdict::Unsettled)
+    verdict_receiver.await.unwrap_or(ClaimVerdict::Unsettled)
 }
 
+/// Records the end of a claim. Status 0 means that the call was never sent, and releases the key.
 async fn record_end<P: SharePolicy>(shared: &Shared<P>, key: ClaimKey, nonce: Nonce, status: u16) {
     let end = ClaimEnd { key, nonce, status };
     // The send fails only after the control thread has ended. The key then stays in use and is never
--- a/crates/reedsail_daemon/src/traffic/headers.rs
+++ b/crates/reedsail_daemon/src/traffic/headers.rs
@@ -15,15 +15,15 @@
 const CLASS_HEADER: &str = "reedsail-class";
 /// The deadline for the start of the answer, in milliseconds.
 const DEADLINE_HEADER: &str = "reedsail-deadline-ms";
-/// The key of a call that runs at most once.
-const KEY_HEADER: &str = "idempotency-key";
-/// The id that backend servers echo.
+/// The idempotency key of a call. Calls with the same key run at most once.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The request id, which backend servers return in their answer.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Headers besides [`HOP_HEADERS`] that are not forwarded: those between the caller and this daemon, and
-/// those that the daemon sets itself. The router does forward `host` and the two proxy headers, since its
-/// backend servers may read them.
-const OWN_HEADERS: &[&str] = &[
+/// those that the daemon sets itself. `reedsail-router`, in contrast, forwards `host` and the two proxy
+/// headers, since its backend servers may read them.
+const NOT_FORWARDED_HEADERS: &[&str] = &[
     "proxy-authenticate",
     "proxy-authorization",
     "host",
@@ -47,7 +47,7 @@
     Some(Sha256::digest(key.as_bytes()).into())
 }
 
-/// Reads the requested class.
+/// Reads the requested class, or returns the default.
 pub(crate) fn class(headers: &HeaderMap, default: Class) -> Result<Class, ErrorKind> {
     let Some(value) = headers.get(CLASS_HEADER) else {
         return Ok(default);
@@ -58,7 +58,7 @@
         .ok_or(ErrorKind::BadHeader)
 }
 
-/// Reads the deadline for the start of the answer, in milliseconds.
+/// Reads the deadline for the start of the answer, in milliseconds. It is limited to `max_ms`.
 pub(crate) fn deadline_ms(headers: &HeaderMap, default_ms: u64, max_ms: u64) -> Result<u64, ErrorKind> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(default_ms);
@@ -70,10 +70,10 @@
 
 /// Returns the idempotency key as the caller sent it.
 pub(crate) fn idempotency_key(headers: &HeaderMap) -> Option<&HeaderValue> {
-    headers.get(KEY_HEADER)
+    headers.get(IDEMPOTENCY_KEY_HEADER)
 }
 
-/// Copies the headers that are forwarded.
+/// Copies the headers that are forwarded to backend servers.
 pub(crate) fn forward_headers(from: &HeaderMap, to: &mut HeaderMap) {
     for (name, value) in from {
         if is_forwarded(name) {
@@ -83,5 +83,5 @@
 }
 
 fn is_forwarded(name: &HeaderName) -> bool {
-    !HOP_HEADERS.contains(&name.as_str()) && !OWN_HEADERS.contains(&name.as_str())
+    !HOP_HEADERS.contains(&name.as_str()) && !NOT_FORWARDED_HEADERS.contains(&name.as_str())
 }
--- a/crates/reedsail_daemon/src/traffic/mod.rs
+++ b/crates/reedsail_daemon/src/traffic/mod.rs
@@ -19,5 +19,5 @@
 pub(crate) use thread::TrafficThread;
 pub(crate) use thread::run_traffic;
 
-/// A pool of connections by the address that the bundle gives a backend server.
+/// A pool of connections to backend servers, by the address that the bundle states for a server.
 type Pool = ConnectionPool<SocketAddr>;
--- a/crates/reedsail_daemon/tests/process.rs
+++ b/crates/reedsail_daemon/tests/process.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Returns the settings with which a separate process joins the fleet, on free ports.
+/// Returns the settings with which a separate process joins the fleet. It listens on free ports.
 fn settings_yaml(fleet: &Fleet) -> String {
     let mut text = format!(
         "instance: hall-a-2\nfailure_domain: hall-a\n\
@@ -85,11 +85,11 @@
     let mut line = String::new();
     let stdout = child.stdout.take().unwrap();
     BufReader::new(stdout).read_line(&mut line).unwrap();
-    let callers = line
+    let address_text = line
         .split("callers=")
         .nth(1)
         .and_then(|rest| rest.split(' ').next());
-    let address = callers
+    let address = address_text
         .and_then(|address| address.parse().ok())
         .expect("the daemon prints its addresses");
     (child, address)
@@ -114,8 +114,9 @@
     }
 }
 
-/// Sends requests until the process answers one, and returns the last outcome.
-async fn first_outcome(address: SocketAddr) -> Outcome {
+/// Sends requests until the process answers one, at most 200, and returns the outcome of the last one.
+async fn retry_until_answered(address: SocketAddr) -> Outcome {
+    // Overwritten by the first request.
     let mut outcome = Outcome::Crossed;
     for _ in 0..200 {
         outcome = Caller::run(address, "labska", &plan(9_999)).await.outcome;
@@ -136,7 +137,11 @@
             .await
             .unwrap();
         let (mut child, address) = start_process(&fleet, folder.path());
-        assert_eq!(first_outcome(address).await, Outcome::Answered, "it gets ready");
+        assert_eq!(
+            retry_until_answered(address).await,
+            Outcome::Answered,
+            "the process must become ready"
+        );
         let mut callers = JoinSet::new();
         for number in 0..200 {
             callers.spawn(async move { Caller::run(address, "labska", &plan(number)).await });
@@ -164,9 +169,14 @@
             .await
             .unwrap();
         let (mut child, address) = start_process(&fleet, folder.path());
-        assert_eq!(first_outcome(address).await, Outcome::Answered, "it gets ready");
+        assert_eq!(
+            retry_until_answered(address).await,
+            Outcome::Answered,
+            "the process must become ready"
+        );
         signal(&child, "-STOP");
-        let own_callers = fleet.callers["hall-a-1"];
+        let other_address = fleet.callers["hall-a-1"];
+        // The service has two backend servers with 32 slots each.
         let mut has_all_slots = false;
         for _ in 0..300 {
             has_all_slots = fleet.daemons["hall-a-1"].slot_counts("assistant-llm").0 == 64;
@@ -180,7 +190,7 @@
             "the leases of the paused process expire, and its slots go to the other daemon"
         );
         assert_eq!(
-            Caller::run(own_callers, "labska", &plan(1)).await.outcome,
+            Caller::run(other_address, "labska", &plan(1)).await.outcome,
             Outcome::Answered
         );
         signal(&child, "-CONT");
--- a/crates/reedsail_dispatch/benches/large_fleet.rs
+++ b/crates/reedsail_dispatch/benches/large_fleet.rs
@@ -1,4 +1,5 @@
-//! The cost of a decision, a report, a tick and a list update on one instance, by the number of servers.
+//! Measures how long a dispatch decision, a load report, and a tick and an update of the server list take on one
+//! instance, by the number of servers.
 //!
 //! `cargo bench -p reedsail_dispatch --bench large_fleet` prints the mean time of one call over many calls, in
 //! microseconds.
@@ -36,7 +37,7 @@
     }
 }
 
-/// Returns an instance with its failure domain.
+/// Returns the names of an instance of the fleet and of its failure domain.
 fn member(number: u32) -> (NameHash, NameHash) {
     let domain = NameHash::of(&format!("hall-{}", number % 5));
     (NameHash::of(&format!("instance-{number}")), domain)
@@ -46,7 +47,7 @@
     ServerRecord {
         id: format!("i-{number:08x}"),
         service: "llm".to_owned(),
-        address: "10.128.0.9:8080".parse().expect("an address"),
+        address: "10.128.0.9:8080".parse().expect("the address is valid"),
         failure_domain: format!("hall-{}", number % 5),
         slots: 16,
         is_draining,
@@ -57,11 +58,11 @@
 
 /// Returns the mean time of a call, in microseconds.
 fn mean_us(calls: u32, mut call: impl FnMut(u32)) -> f64 {
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..calls {
         call(number);
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
 }
 
 fn decision_us(dispatcher: &mut Dispatcher) -> f64 {
@@ -108,7 +109,7 @@
         list.apply(whole_update(servers), NOW, NOW);
         apply_changes(&mut list, &mut dispatcher);
         let tick = mean_us(200, |_| drop(black_box(list.tick(NOW))));
-        let again = mean_us(2, |_| {
+        let whole_again = mean_us(2, |_| {
             drop(black_box(list.apply(whole_update(servers), NOW, NOW)));
         });
         let change = mean_us(50, |number| {
@@ -120,7 +121,7 @@
             list.apply(update, NOW, NOW);
             apply_changes(&mut list, &mut dispatcher);
         });
-        println!("{servers} | {decision:.1} | {report:.1} | {tick:.1} | {again:.0} | {change:.1}");
+        println!("{servers} | {decision:.1} | {report:.1} | {tick:.1} | {whole_again:.0} | {change:.1}");
     }
 }
 
--- a/crates/reedsail_gossip/src/lib.rs
+++ b/crates/reedsail_gossip/src/lib.rs
@@ -3,14 +3,14 @@
 //! Pure: no I/O, no clock. [`LoadExchange`] receives every incoming message and returns the messages to send at every
 //! tick; the router's control thread sends them.
 //!
-//! In a small fleet each instance sends its report to all others. In a fleet of more than [`DIRECT_INSTANCES_MAX`]
+//! In a small fleet, each instance sends its report to all others. In a fleet of more than [`DIRECT_INSTANCES_MAX`]
 //! instances, each member reports only to an aggregator of its failure domain. Aggregators send each other the sums
-//! over their members, and send their members the sum over the fleet. An instance thus sends and receives one message
-//! per interval at any fleet size, and load crosses between failure domains once for all members. The interval
-//! follows the utilisation of the servers ([`ExchangePace`]).
+//! over their members, and send their members the sum over the fleet. A member thus sends and receives one message
+//! per interval at any fleet size, and a domain's load is sent to another domain once for all members. The interval
+//! depends on the utilisation of the servers ([`ExchangePace`]).
 //!
 //! There is no consensus: every instance that receives members' reports aggregates them. Two aggregators in one
-//! failure domain make a load estimate wrong for a short time, but never an answer.
+//! failure domain can make a load estimate wrong for a short time, but never an answer to a caller.
 
 mod aggregator_choice;
 mod exchange_messages;
--- a/crates/reedsail_standin/src/engine_slots.rs
+++ b/crates/reedsail_standin/src/engine_slots.rs
@@ -15,14 +15,16 @@
 struct State {
     slots: u32,
     running: u32,
+    /// Waiting requests by priority, and by arrival within a priority.
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
     last_sequence: u64,
+    /// The integral of `running` over time up to `measured_at`.
     busy_slot_ms: f64,
     measured_at: Instant,
 }
 
 impl State {
-    fn measure(&mut self) {
+    fn add_busy_time(&mut self) {
         let elapsed_ms = self.measured_at.elapsed().as_secs_f64() * 1_000.0;
         self.busy_slot_ms += elapsed_ms * f64::from(self.running);
         self.measured_at = Instant::now();
@@ -41,13 +43,14 @@
         }))
     }
 
-    /// Waits for a slot. The request with the lowest priority number gets the next free slot.
+    /// Waits for a slot. A freed slot wakes the waiting request with the lowest priority number, but a request
+    /// that arrives before the woken one runs may take the slot first.
     pub(crate) async fn acquire(&self, priority: u8) {
         loop {
             let wake_receiver = {
                 let mut state = self.lock();
                 if state.running < state.slots {
-                    state.measure();
+                    state.add_busy_time();
                     state.running += 1;
                     return;
                 }
@@ -57,14 +60,15 @@
                 state.waiting.insert(queue_key, wake_sender);
                 wake_receiver
             };
-            // A dropped sender only means that the place in the queue is lost, so the loop tries again.
+            // Neither a wake-up nor a dropped sender grants a slot, and both end the place in the queue. The
+            // loop tries again in either case.
             let _ = wake_receiver.await;
         }
     }
 
     pub(crate) fn release(&self) {
         let mut state = self.lock();
-        state.measure();
+        state.add_busy_time();
         state.running -= 1;
         while let Some((_, wake_sender)) = state.waiting.pop_first() {
             if wake_sender.send(()).is_ok() {
@@ -76,7 +80,7 @@
     /// Returns the number of running and of waiting requests, and the busy slot time so far in milliseconds.
     pub(crate) fn load(&self) -> (u32, u32, f64) {
         let mut state = self.lock();
-        state.measure();
+        state.add_busy_time();
         (state.running, state.waiting.len() as u32, state.busy_slot_ms)
     }
 
