--- a/crates/reedsail_events/src/chrome_trace.rs
+++ b/crates/reedsail_events/src/chrome_trace.rs
@@ -1,11 +1,11 @@
-//! Writes events in the trace event format that browsers' trace viewers read.
+//! Writes events in the trace event format of Chrome's trace viewer.
 
 use serde_json::Value;
 use serde_json::json;
 
 use crate::Event;
 
-/// Returns the trace as JSON: one row of instants for each instance, in microseconds.
+/// Returns the trace as JSON: one row of instant events per instance, with timestamps in microseconds.
 pub fn chrome_trace(events: &[Event]) -> Value {
     let instants: Vec<Value> = events
         .iter()
--- a/crates/reedsail_events/src/event_log.rs
+++ b/crates/reedsail_events/src/event_log.rs
@@ -1,4 +1,4 @@
-//! A process's own events: logged as they come, and kept for a while for `reedsail timeline`.
+//! The events of one process: logged when they occur, with the newest retained for `reedsail timeline`.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,10 +12,10 @@
 
 use crate::Event;
 use crate::EventKind;
+use crate::line_budget::BudgetDecision;
 use crate::line_budget::LineBudget;
-use crate::line_budget::Verdict;
 
-/// Collects events under one logical clock. Clones share their state.
+/// Logs and retains events under one logical clock. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct EventLog(Arc<State>);
 
@@ -29,13 +29,13 @@
 }
 
 impl EventLog {
-    /// Makes a log that keeps the newest `kept_max` events.
+    /// Creates a log that retains the newest `kept_max` events.
     pub fn new(instance: &str, kept_max: usize) -> Self {
         Self::with_budget(instance, kept_max, None)
     }
 
-    /// Makes a log that also reports at most `per_s_max` events of each kind in a second; the next
-    /// one that is reported says how many were left out.
+    /// Creates a log that also reports at most `per_s_max` events of each kind per second. The next
+    /// reported event of a kind contains the number of omitted ones.
     pub fn bounded(instance: &str, kept_max: usize, per_s_max: u32) -> Self {
         Self::with_budget(instance, kept_max, Some(per_s_max))
     }
@@ -50,12 +50,12 @@
         }))
     }
 
-    /// Returns the clock to send along with a message.
+    /// Returns the logical clock to send with a message.
     pub fn clock(&self) -> u64 {
         self.0.clock.load(Ordering::Relaxed)
     }
 
-    /// Takes note of the clock that came with a message: what follows here is later.
+    /// Advances the logical clock to the clock of a received message, so that later events here order after it.
     pub fn observe(&self, clock: u64) {
         self.0.clock.fetch_max(clock, Ordering::Relaxed);
     }
@@ -70,10 +70,10 @@
         });
     }
 
-    /// Reports an event whose fields are worked out only if it is not left out.
+    /// Reports an event. The fields are computed only if the budget allows the event.
     pub fn emit_with(&self, kind: EventKind, fields: impl FnOnce() -> BTreeMap<String, String>) {
         let unix_ms = unix_ms();
-        let Some(left_out) = self.take_from_budget(kind, unix_ms) else {
+        let Some(left_out) = self.count_against_budget(kind, unix_ms) else {
             return;
         };
         let clock = self.0.clock.fetch_add(1, Ordering::Relaxed) + 1;
@@ -101,19 +101,19 @@
         kept.push_back(event);
     }
 
-    /// Returns how many events of the kind were left out before this one; `None` to leave it out.
-    fn take_from_budget(&self, kind: EventKind, unix_ms: u64) -> Option<u64> {
+    /// Returns how many events of the kind were omitted before this one, or `None` if this one is omitted too.
+    fn count_against_budget(&self, kind: EventKind, unix_ms: u64) -> Option<u64> {
         let Some(budget) = &self.0.budget else {
             return Some(0);
         };
         let mut budget = budget.lock().unwrap_or_else(PoisonError::into_inner);
-        match budget.take(kind, unix_ms) {
-            Verdict::Report { left_out } => Some(left_out),
-            Verdict::LeaveOut => None,
+        match budget.count(kind, unix_ms) {
+            BudgetDecision::Report { left_out } => Some(left_out),
+            BudgetDecision::LeaveOut => None,
         }
     }
 
-    /// Returns the events that are kept, the oldest first.
+    /// Returns the retained events, oldest first.
     pub fn kept(&self) -> Vec<Event> {
         let kept = self.0.kept.lock().unwrap_or_else(PoisonError::into_inner);
         kept.iter().cloned().collect()
@@ -123,6 +123,6 @@
 fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        // A wall clock before 1970 shows as zero in the line; nothing decides by it.
+        // A wall clock before 1970 becomes zero in the line; no decision depends on it.
         .map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/reedsail_events/src/lib.rs
+++ b/crates/reedsail_events/src/lib.rs
@@ -1,7 +1,7 @@
-//! Numbered log events with a logical clock, so that those of all processes can be put into one order in
-//! which a cause comes before its effect.
+//! Numbered log events with a logical clock. The clock orders the events of all processes such that a cause
+//! precedes its effects.
 //!
-//! Owns the closed list of events, the budget of lines a second, and the thread that writes lines.
+//! Owns the fixed list of event kinds, the budget of lines per second, and the thread that writes lines.
 
 mod chrome_trace;
 mod event;
@@ -16,5 +16,5 @@
 pub use event_kind::EventKind;
 pub use event_log::EventLog;
 pub use line_sink::LineSink;
-pub use line_sink::LineSinkEnd;
+pub use line_sink::LineSinkCloser;
 pub use merge::merge_events;
--- a/crates/reedsail_events/src/line_budget.rs
+++ b/crates/reedsail_events/src/line_budget.rs
@@ -1,12 +1,12 @@
-//! Bounds how many events of one kind are reported in a second.
+//! Limits how many events of one kind are reported per second.
 
 use std::collections::HashMap;
 
 use crate::EventKind;
 
-/// What one kind has used of the present second.
+/// The reported and omitted events of one kind in the current second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct KindUsage {
     second: u64,
     reported: u32,
     left_out: u64,
@@ -14,18 +14,18 @@
 
 /// Whether an event is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// It is, and so many of its kind were left out before it.
+pub(crate) enum BudgetDecision {
+    /// The event is reported, after `left_out` omitted events of its kind.
     Report { left_out: u64 },
-    /// It is counted only.
+    /// The event is only counted.
     LeaveOut,
 }
 
-/// Counts events by kind and second.
+/// The events reported so far, by kind and second.
 #[derive(Debug)]
 pub(crate) struct LineBudget {
     per_s_max: u32,
-    kinds: HashMap<EventKind, Used>,
+    kinds: HashMap<EventKind, KindUsage>,
 }
 
 impl LineBudget {
@@ -36,20 +36,20 @@
         }
     }
 
-    pub(crate) fn take(&mut self, kind: EventKind, unix_ms: u64) -> Verdict {
+    pub(crate) fn count(&mut self, kind: EventKind, unix_ms: u64) -> BudgetDecision {
         let second = unix_ms / 1_000;
-        let used = self.kinds.entry(kind).or_default();
-        if used.second != second {
-            used.second = second;
-            used.reported = 0;
+        let usage = self.kinds.entry(kind).or_default();
+        if usage.second != second {
+            usage.second = second;
+            usage.reported = 0;
         }
-        if used.reported >= self.per_s_max {
-            used.left_out += 1;
-            return Verdict::LeaveOut;
+        if usage.reported >= self.per_s_max {
+            usage.left_out += 1;
+            return BudgetDecision::LeaveOut;
         }
-        used.reported += 1;
-        Verdict::Report {
-            left_out: std::mem::take(&mut used.left_out),
+        usage.reported += 1;
+        BudgetDecision::Report {
+            left_out: std::mem::take(&mut usage.left_out),
         }
     }
 }
--- a/crates/reedsail_events/src/line_sink.rs
+++ b/crates/reedsail_events/src/line_sink.rs
@@ -1,4 +1,4 @@
-//! Writes log lines to standard output from a thread of their own, so that nobody waits for it.
+//! Writes log lines to standard output on a separate thread, so that no other thread blocks on it.
 
 use std::io;
 use std::io::Write;
@@ -13,27 +13,26 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Lines that wait to be written at most; further ones are counted and dropped.
-const LINES_MAX: usize = 2_048;
-/// Time for which lines are gathered before they are written together, in milliseconds: one write call for
-/// many lines.
-const GATHER_MS: u64 = 250;
-/// Lines that are written together at most, in bytes, a longer line alone: the size up to which a write to a pipe
-/// is one piece (`PIPE_BUF` on Linux). A collector that takes one bounded piece of each write had 55,413 of the lines
-/// of a run with writes of any size, and all 122,136 of the same run with these.
-const PIECE_BYTES: usize = 4_096;
-/// Interval at which the closing side checks whether everything is written, in milliseconds.
+/// Maximum number of queued lines; further lines are counted and dropped.
+const QUEUED_LINES_MAX: usize = 2_048;
+/// Time to collect lines before they are written together, in milliseconds: one write call for many lines.
+const BATCH_DELAY_MS: u64 = 250;
+/// Maximum size of lines that are written together, in bytes; a longer line is written alone. A write to a pipe is
+/// atomic up to this size (`PIPE_BUF` on Linux). A log collector that reads one bounded chunk of each write received
+/// 55,413 lines of a run with writes of unlimited size, and all 122,136 lines of the same run with this limit.
+const WRITE_BATCH_BYTES: usize = 4_096;
+/// Interval at which `close` checks whether all lines are written, in milliseconds.
 const CLOSE_POLL_MS: u64 = 5;
 
-/// What the two sides and the closing one know of each other.
+/// The state that the sink, the writer thread and the closer share.
 #[derive(Debug, Default)]
 struct Progress {
-    taken: AtomicU64,
+    queued: AtomicU64,
     written: AtomicU64,
     is_closing: AtomicBool,
 }
 
-/// A writer that takes whole lines, never blocks, and drops what does not fit.
+/// A writer that accepts whole lines, never blocks, and drops lines if its queue is full.
 #[derive(Debug)]
 pub struct LineSink {
     lines: SyncSender<Vec<u8>>,
@@ -41,9 +40,9 @@
     dropped: u64,
 }
 
-/// Waits, at the end of the program, for the lines that were taken.
+/// Waits for the queued lines when the program exits.
 #[derive(Debug)]
-pub struct LineSinkEnd {
+pub struct LineSinkCloser {
     progress: Arc<Progress>,
     writer: std::thread::Thread,
 }
@@ -52,15 +51,15 @@
     /// Starts the thread that writes to standard output.
     ///
     /// # Errors
-    /// The system's, if no thread can be started.
-    pub fn to_stdout() -> io::Result<(Self, LineSinkEnd)> {
-        let (lines, waiting) = sync_channel(LINES_MAX);
+    /// Returns the system's error if no thread can be started.
+    pub fn to_stdout() -> io::Result<(Self, LineSinkCloser)> {
+        let (lines, queue) = sync_channel(QUEUED_LINES_MAX);
         let progress = Arc::new(Progress::default());
-        let for_writer = Arc::clone(&progress);
+        let writer_progress = Arc::clone(&progress);
         let writer = std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_lines(&waiting, &for_writer, &mut io::stdout()))?;
-        let end = LineSinkEnd {
+            .spawn(move || write_lines(&queue, &writer_progress, &mut io::stdout()))?;
+        let closer = LineSinkCloser {
             progress: Arc::clone(&progress),
             writer: writer.thread().clone(),
         };
@@ -69,19 +68,19 @@
             progress,
             dropped: 0,
         };
-        Ok((sink, end))
+        Ok((sink, closer))
     }
 }
 
-impl LineSinkEnd {
-    /// Has the lines that wait written at once, and waits for that, but no longer than `limit_ms`
-    /// milliseconds: whoever reads the log may be gone.
+impl LineSinkCloser {
+    /// Makes the writer thread write the queued lines at once, and waits for at most `limit_ms` milliseconds:
+    /// the reader of the log may be gone.
     pub fn close(self, limit_ms: u64) {
         let limit = Duration::from_millis(limit_ms);
         let began_at = Instant::now();
         self.progress.is_closing.store(true, Ordering::Release);
         self.writer.unpark();
-        while self.progress.written.load(Ordering::Acquire) < self.progress.taken.load(Ordering::Acquire)
+        while self.progress.written.load(Ordering::Acquire) < self.progress.queued.load(Ordering::Acquire)
             && began_at.elapsed() < limit
         {
             std::thread::sleep(Duration::from_millis(CLOSE_POLL_MS));
@@ -98,7 +97,7 @@
         match self.lines.try_send(text) {
             Ok(()) => {
                 self.dropped = 0;
-                self.progress.taken.fetch_add(1, Ordering::AcqRel);
+                self.progress.queued.fetch_add(1, Ordering::AcqRel);
             }
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.dropped += 1,
         }
@@ -110,27 +109,27 @@
     }
 }
 
-/// Writes what comes until nobody can send any more.
-fn write_lines(waiting: &Receiver<Vec<u8>>, progress: &Progress, output: &mut impl Write) {
-    while let Ok(mut text) = waiting.recv() {
+/// Writes lines until the sink is dropped.
+fn write_lines(queue: &Receiver<Vec<u8>>, progress: &Progress, output: &mut impl Write) {
+    while let Ok(mut text) = queue.recv() {
         if !progress.is_closing.load(Ordering::Acquire) {
-            std::thread::park_timeout(Duration::from_millis(GATHER_MS));
+            std::thread::park_timeout(Duration::from_millis(BATCH_DELAY_MS));
         }
         let mut count = 1;
-        for line in waiting.try_iter() {
-            if text.len() + line.len() > PIECE_BYTES {
-                write_piece(&text, output);
+        for line in queue.try_iter() {
+            if text.len() + line.len() > WRITE_BATCH_BYTES {
+                write_batch(&text, output);
                 text.clear();
             }
             text.extend_from_slice(&line);
             count += 1;
         }
-        write_piece(&text, output);
+        write_batch(&text, output);
         progress.written.fetch_add(count, Ordering::AcqRel);
     }
 }
 
-fn write_piece(text: &[u8], output: &mut impl Write) {
-    // The reader of the log may be gone; the process goes on without it.
+fn write_batch(text: &[u8], output: &mut impl Write) {
+    // The reader of the log may be gone; the process continues without it.
     let _ = output.write_all(text).and_then(|()| output.flush());
 }
