--- a/crates/reedsail_bench/src/checker.rs
+++ b/crates/reedsail_bench/src/checker.rs
@@ -232,7 +232,7 @@
     let mut events: Vec<&Event> = record.events.iter().collect();
     events.sort_by_key(|event| (event.unix_ms, event.clock));
     for event in events {
-        if event.number == EventKind::DaemonStarted.number() {
+        if event.number == EventKind::InstanceStarted.number() {
             last.remove(event.instance.as_str());
         }
         if event.number != EventKind::BundleInForce.number() {
--- a/crates/reedsail_daemon/src/control/roll_out.rs
+++ b/crates/reedsail_daemon/src/control/roll_out.rs
@@ -147,7 +147,7 @@
             return;
         }
         if self.shared.stage.advance(Stage::Ready) {
-            self.shared.events.emit(EventKind::DaemonReady, &[]);
+            self.shared.events.emit(EventKind::InstanceReady, &[]);
         }
     }
 
--- a/crates/reedsail_daemon/src/running.rs
+++ b/crates/reedsail_daemon/src/running.rs
@@ -211,7 +211,7 @@
     let domain = shared.settings.failure_domain.as_str();
     shared
         .events
-        .emit(EventKind::DaemonStarted, &[("failure_domain", domain)]);
+        .emit(EventKind::InstanceStarted, &[("failure_domain", domain)]);
     let (stage_changed, stage_watch) = watch::channel(Stage::Starting);
     let mut workers = Workers::default();
     for index in 0..traffic_threads {
--- a/crates/reedsail_events/src/event_kind.rs
+++ b/crates/reedsail_events/src/event_kind.rs
@@ -37,9 +37,9 @@
 
 event_kinds! {
     /// The instance has started.
-    DaemonStarted = 100, "daemon_started", Info, "the instance has started and its settings are valid";
+    InstanceStarted = 100, "daemon_started", Info, "the instance has started and its settings are valid";
     /// The instance accepts requests.
-    DaemonReady = 101, "daemon_ready", Info, "a bundle is in force and the instance accepts requests";
+    InstanceReady = 101, "daemon_ready", Info, "a bundle is in force and the instance accepts requests";
     /// A graceful shutdown has started.
     StopBegun = 102, "stop_begun", Info, "a graceful shutdown has started; open requests are finished first";
     /// A graceful shutdown has finished.
--- a/crates/reedsail_router/src/running.rs
+++ b/crates/reedsail_router/src/running.rs
@@ -92,7 +92,7 @@
             ("callers", addresses.callers.to_string()),
             ("peers", addresses.peers.to_string()),
         ];
-        shared.emit(EventKind::DaemonStarted, &fields);
+        shared.emit(EventKind::InstanceStarted, &fields);
         let (seeds, seeds_receiver) = mpsc::channel(1);
         let traffic = TrafficThread {
             shared: Arc::clone(&shared),
