--- a/crates/reedsail_bench/src/faults.rs
+++ b/crates/reedsail_bench/src/faults.rs
@@ -212,7 +212,7 @@
     pub async fn strike(&self, fleet: &mut Fleet) -> anyhow::Result<()> {
         match self {
             Self::Cut(one, other) => fleet.gate.cut(one, other),
-            Self::Mend(one, other) => fleet.gate.mend(one, other),
+            Self::Mend(one, other) => fleet.gate.heal(one, other),
             Self::KillDaemon(daemon) => fleet.kill_daemon(daemon),
             Self::StartDaemon(daemon) => fleet.start_daemon(daemon).await?,
             Self::FreezeDaemon(daemon, on) => fleet.gate.freeze(daemon, *on),
--- a/crates/reedsail_bench/tests/failures.rs
+++ b/crates/reedsail_bench/tests/failures.rs
@@ -142,7 +142,7 @@
         .await;
         // Log down, peers up:
         fleet.kill_daemon("hall-a-1");
-        fleet.gate.mend("hall-a-1", "hall-a-2");
+        fleet.gate.heal("hall-a-1", "hall-a-2");
         fleet.platform.set_faults(|faults| faults.outage = true);
         fleet.start_daemon("hall-a-1").await.unwrap();
         eventually("a peer alone makes it ready", || {
@@ -201,7 +201,7 @@
         })
         .await;
         // And the next version comes into force everywhere.
-        fleet.gate.mend("hall-a-1", "hall-a-2");
+        fleet.gate.heal("hall-a-1", "hall-a-2");
         let next = text.replace("version: 2", "version: 3");
         fleet.publish_text(&next).await.unwrap();
         wait_for_version(&fleet, 3, 5_000).await;
@@ -475,9 +475,9 @@
             let caller = Caller::run(*address, "labska", &chat_plan(1, 5)).await;
             assert_eq!(caller.outcome, Outcome::Answered, "at {name} during the cut");
         }
-        fleet.gate.mend("hall-a", "hall-b");
-        fleet.gate.mend("hall-a-1", "platform");
-        fleet.gate.mend("hall-a-2", "platform");
+        fleet.gate.heal("hall-a", "hall-b");
+        fleet.gate.heal("hall-a-1", "platform");
+        fleet.gate.heal("hall-a-2", "platform");
         for (name, address) in &fleet.callers {
             let caller = Caller::run(*address, "labska", &chat_plan(2, 5)).await;
             assert_eq!(caller.outcome, Outcome::Answered, "at {name} after the cut");
--- a/crates/reedsail_net/src/net_gate.rs
+++ b/crates/reedsail_net/src/net_gate.rs
@@ -43,7 +43,7 @@
     }
 
     /// Mends a cut.
-    pub fn mend(&self, one: &str, other: &str) {
+    pub fn heal(&self, one: &str, other: &str) {
         self.change(|rules| {
             rules.cuts.remove(&(one.to_owned(), other.to_owned()));
             rules.cuts.remove(&(other.to_owned(), one.to_owned()));
--- a/crates/reedsail_net/src/kept_client.rs
+++ b/crates/reedsail_net/src/persistent_client.rs
@@ -31,7 +31,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct CompleteResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -42,14 +42,14 @@
 
 /// The client.
 #[derive(Debug)]
-pub struct KeptClient {
+pub struct PersistentClient {
     server: SocketAddr,
     connect_limit_ms: u64,
     body_bytes_max: usize,
     connection: Option<HttpConnection>,
 }
 
-impl KeptClient {
+impl PersistentClient {
     /// Makes a client of a server, with limits for connecting, in milliseconds, and for an answer, in bytes.
     pub fn new(server: SocketAddr, connect_limit_ms: u64, body_bytes_max: usize) -> Self {
         Self {
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// The server could not be reached, broke off, or answered with more than the limit.
-    pub async fn get(&mut self, path: &str) -> Result<WholeAnswer, CallError> {
+    pub async fn get(&mut self, path: &str) -> Result<CompleteResponse, CallError> {
         let mut connection = match self.connection.take().filter(HttpConnection::is_ready) {
             Some(connection) => connection,
             None => self.connect().await?,
@@ -79,7 +79,7 @@
         let body = Limited::new(body, self.body_bytes_max);
         let body = body.collect().await.map_err(CallError::of)?.to_bytes();
         self.connection = Some(connection);
-        Ok(WholeAnswer {
+        Ok(CompleteResponse {
             status: head.status,
             headers: head.headers,
             body,
