--- a/crates/reedsail_net/src/byte_counter.rs
+++ b/crates/reedsail_net/src/byte_counter.rs
@@ -1,10 +1,10 @@
-//! Counts bytes sent and received, by kind of traffic.
+//! Counts the bytes sent and received for one kind of traffic.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// A pair of counters that clones share.
+/// Counters of sent and received bytes. Clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct ByteCounter(Arc<Counts>);
 
@@ -15,12 +15,12 @@
 }
 
 impl ByteCounter {
-    /// Counts bytes that were sent.
+    /// Adds to the sent bytes.
     pub fn add_sent(&self, bytes: u64) {
         self.0.sent_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Counts bytes that were received.
+    /// Adds to the received bytes.
     pub fn add_received(&self, bytes: u64) {
         self.0.received_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
--- a/crates/reedsail_net/src/clock.rs
+++ b/crates/reedsail_net/src/clock.rs
@@ -1,7 +1,7 @@
-//! The process's clocks.
+//! The clocks of the process.
 //!
-//! All that is believed is judged by one clock which also counts the time for which the machine was suspended.
-//! The runtime's timers do not count it; a [`DeadlineTimer`] looks at this clock again while it waits.
+//! One clock decides the age of all state. It includes the time during which the machine was suspended. The timers of
+//! the runtime exclude that time, so a [`DeadlineTimer`] checks this clock repeatedly while it waits.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -15,12 +15,12 @@
 
 use crate::DeadlineTimer;
 
-/// The moment at which a process begins, in milliseconds.
+/// The reading of the clock when the process starts, in milliseconds.
 const START_MS: u64 = 1_000;
-/// Nanoseconds of a millisecond.
-const MS_NS: u64 = 1_000_000;
+/// Nanoseconds per millisecond.
+const NS_PER_MS: u64 = 1_000_000;
 
-/// Tells the moment since the process began, and the wall clock's time.
+/// A monotonic clock that counts from the start of the process, and the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_ns: u64,
@@ -38,14 +38,14 @@
     }
 }
 
-/// Returns the time since the machine was started, suspensions included, in nanoseconds.
+/// Returns the time since the machine booted in nanoseconds, suspensions included.
 fn boot_ns() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
-    time.tv_sec as u64 * 1_000 * MS_NS + time.tv_nsec as u64
+    time.tv_sec as u64 * 1_000 * NS_PER_MS + time.tv_nsec as u64
 }
 
 impl Clock {
-    /// Makes a clock that counts simulated suspensions, for tests.
+    /// Creates a clock that includes simulated suspensions, for tests.
     pub fn with_simulated_suspension(simulated: &'static SimulatedSuspension) -> Self {
         Self {
             simulated: Some(simulated),
@@ -53,29 +53,29 @@
         }
     }
 
-    /// Returns the present moment on a clock that runs steadily and counts suspensions of the machine. It starts at
-    /// one second, so that the zero moment is always past.
+    /// Returns the current time of a monotonic clock that includes suspensions of the machine. The clock starts at one
+    /// second, so that time zero is always in the past.
     pub fn now(&self) -> TimeMs {
         TimeMs(START_MS + self.elapsed_ms())
     }
 
     fn elapsed_ms(&self) -> u64 {
         let simulated_ms = self.simulated.map_or(0, SimulatedSuspension::total_ms);
-        boot_ns().saturating_sub(self.started_ns) / MS_NS + simulated_ms
+        boot_ns().saturating_sub(self.started_ns) / NS_PER_MS + simulated_ms
     }
 
-    /// Returns for how long the machine was suspended since the process began, in milliseconds.
+    /// Returns the total time for which the machine was suspended since the process started, in milliseconds.
     pub fn suspended_ms(&self) -> u64 {
-        let steady_ms = self.started.elapsed().as_millis() as u64;
-        self.elapsed_ms().saturating_sub(steady_ms)
+        let unsuspended_ms = self.started.elapsed().as_millis() as u64;
+        self.elapsed_ms().saturating_sub(unsuspended_ms)
     }
 
-    /// Returns a future that completes at a moment.
+    /// Returns a future that completes at `deadline`.
     pub fn timer(&self, deadline: TimeMs) -> DeadlineTimer {
         DeadlineTimer::new(*self, deadline)
     }
 
-    /// Returns the wall clock's time in milliseconds since the Unix epoch.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     pub fn unix_ms() -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -83,14 +83,14 @@
     }
 }
 
-/// Suspensions that only the clocks made with it believe in.
+/// Simulated suspensions, seen only by the clocks that are created with them.
 #[derive(Debug, Default)]
 pub struct SimulatedSuspension {
     total_ms: AtomicU64,
 }
 
 impl SimulatedSuspension {
-    /// Lets a span pass that only a clock which counts suspensions sees.
+    /// Simulates a suspension of `span_ms` milliseconds.
     pub fn suspend(&self, span_ms: u64) {
         self.total_ms.fetch_add(span_ms, Ordering::Relaxed);
     }
--- a/crates/reedsail_net/src/connection_pool.rs
+++ b/crates/reedsail_net/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to backend servers; one pool for each traffic thread.
+//! A pool of idle connections to backend servers. Each traffic thread has one pool.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -10,10 +10,10 @@
 
 use crate::HttpConnection;
 
-/// Time that a connection rests at most where the server does not say, in milliseconds.
-const IDLE_DEFAULT_MS: u64 = 4_000;
-/// Margin before the moment at which the server would close an idle connection, in milliseconds.
-const IDLE_MARGIN_MS: u64 = 700;
+/// Idle timeout of a connection if the server specifies none, in milliseconds.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
+/// Time before the server closes an idle connection at which the pool stops using it, in milliseconds.
+const IDLE_TIMEOUT_MARGIN_MS: u64 = 700;
 
 #[derive(Debug)]
 struct Idle {
@@ -21,9 +21,9 @@
     use_until: TimeMs,
 }
 
-/// Keeps connections whose last answer was read to its end, under the server's key. No other
-/// connection comes back, so an answer that arrives late can meet nobody else's request. Where an
-/// address may come back with another server, the key must not be the address.
+/// Keeps idle connections by the key of their server. A connection returns to the pool only after its last response was
+/// read completely, so a late response never reaches another request. If another server can reuse an address, the
+/// key must not be the address.
 #[derive(Debug)]
 pub struct ConnectionPool<K> {
     idle: Mutex<HashMap<K, Vec<Idle>>>,
@@ -31,7 +31,7 @@
 }
 
 impl<K: Copy + Eq + Hash> ConnectionPool<K> {
-    /// Makes an empty pool that keeps at most `idle_max` connections to one server.
+    /// Creates an empty pool that keeps at most `idle_max` connections to one server.
     pub fn new(idle_max: usize) -> Self {
         Self {
             idle: Mutex::new(HashMap::new()),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes the connection that rested for the shortest time.
+    /// Removes and returns the most recently used connection to a server.
     pub fn take(&self, server: K, now: TimeMs) -> Option<HttpConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.get_mut(&server)?;
@@ -47,10 +47,16 @@
         connections.pop().map(|idle| idle.connection)
     }
 
-    /// Gives a connection back whose answer was read to its end.
-    pub fn give_back(&self, server: K, connection: HttpConnection, answer_headers: &HeaderMap, now: TimeMs) {
-        let rest_ms = keep_alive_ms(answer_headers).unwrap_or(IDLE_DEFAULT_MS);
-        let use_until = now.plus_ms(rest_ms.saturating_sub(IDLE_MARGIN_MS));
+    /// Returns a connection to the pool after its response was read completely.
+    pub fn give_back(
+        &self,
+        server: K,
+        connection: HttpConnection,
+        response_headers: &HeaderMap,
+        now: TimeMs,
+    ) {
+        let idle_timeout_ms = keep_alive_ms(response_headers).unwrap_or(DEFAULT_IDLE_TIMEOUT_MS);
+        let use_until = now.plus_ms(idle_timeout_ms.saturating_sub(IDLE_TIMEOUT_MARGIN_MS));
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let connections = idle.entry(server).or_default();
         if connections.len() < self.idle_max {
@@ -61,7 +67,7 @@
         }
     }
 
-    /// Closes connections that rested too long, and those to servers that are no longer known.
+    /// Closes connections that exceeded their idle timeout, and connections to servers that are no longer known.
     pub fn drop_old(&self, is_known: impl Fn(K) -> bool, now: TimeMs) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|server, connections| {
@@ -71,13 +77,13 @@
     }
 }
 
-/// Reads for how long the server keeps an idle connection.
+/// Returns the server's idle timeout from the `Keep-Alive` header, in milliseconds.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
-    // A header that cannot be read says nothing, and the default applies.
+    // The default applies if the header is invalid.
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameter = text
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="))?;
-    // A time-out that is no number says nothing either.
+    // The default also applies if the timeout is not a number.
     Some(parameter.trim().parse::<u64>().ok()?.saturating_mul(1_000))
 }
--- a/crates/reedsail_net/src/counted_stream.rs
+++ b/crates/reedsail_net/src/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts its bytes and never waits to fill a segment.
+//! A TCP stream that counts its bytes and sends small segments without delay.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 
 use crate::ByteCounter;
 
-/// Time after which bytes that the other side did not acknowledge break the connection, in milliseconds:
-/// without it a cut link holds a request until its deadline.
-const UNACKNOWLEDGED_MS: u64 = 2_000;
+/// Time after which unacknowledged bytes close the connection, in milliseconds. Without this timeout, a request on a
+/// broken link waits until its deadline.
+const TCP_USER_TIMEOUT_MS: u64 = 2_000;
 
-/// A TCP stream with `TCP_NODELAY` set and its payload counted.
+/// A TCP stream with `TCP_NODELAY` that counts its payload bytes.
 #[derive(Debug)]
 pub struct CountedStream {
     stream: TcpStream,
@@ -28,21 +28,21 @@
 }
 
 impl CountedStream {
-    /// Takes over an accepted or connected stream.
+    /// Wraps an accepted or connected stream.
     ///
     /// # Errors
-    /// The system's, if the socket is already gone.
+    /// Returns the system's error if the socket is already closed.
     pub fn new(stream: TcpStream, counter: ByteCounter) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        SockRef::from(&stream).set_tcp_user_timeout(Some(Duration::from_millis(UNACKNOWLEDGED_MS)))?;
+        SockRef::from(&stream).set_tcp_user_timeout(Some(Duration::from_millis(TCP_USER_TIMEOUT_MS)))?;
         Ok(Self { stream, counter })
     }
 }
 
-/// Connects within `limit_ms` milliseconds.
+/// Connects to an address within `limit_ms` milliseconds.
 ///
 /// # Errors
-/// The system's, or `TimedOut`.
+/// Returns the system's error, or `TimedOut`.
 pub async fn connect(address: SocketAddr, limit_ms: u64, counter: ByteCounter) -> io::Result<CountedStream> {
     let connecting = TcpStream::connect(address);
     let stream = timeout(Duration::from_millis(limit_ms), connecting)
--- a/crates/reedsail_net/src/deadline_timer.rs
+++ b/crates/reedsail_net/src/deadline_timer.rs
@@ -1,4 +1,4 @@
-//! A timer for a deadline on the clock that counts suspensions.
+//! A timer for a deadline on the clock that includes suspensions.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -12,17 +12,17 @@
 
 use crate::Clock;
 
-/// Interval at which a waiting timer looks at the clock, in milliseconds: after a suspension a deadline is noticed at
-/// most this late, where the runtime's timer would be late by the whole suspension. Shorter than the 3,000 ms in
-/// which an instance must be as it was before.
-const LOOK_EVERY_MS: u64 = 2_000;
+/// Interval at which a waiting timer checks the clock, in milliseconds. After a suspension, the timer detects a passed
+/// deadline within this interval; the runtime's timer would be late by the whole suspension. The interval is shorter
+/// than the 3,000 ms within which an instance must recover.
+const CLOCK_CHECK_INTERVAL_MS: u64 = 2_000;
 
-/// Completes at a deadline, and stays completed.
+/// A future that completes at a deadline and stays completed.
 #[derive(Debug)]
 pub struct DeadlineTimer {
     clock: Clock,
     deadline: TimeMs,
-    next_look: Pin<Box<Sleep>>,
+    next_check: Pin<Box<Sleep>>,
 }
 
 impl DeadlineTimer {
@@ -30,15 +30,15 @@
         Self {
             clock,
             deadline,
-            next_look: Box::pin(sleep(wait(clock, deadline))),
+            next_check: Box::pin(sleep(time_to_next_check(clock, deadline))),
         }
     }
 }
 
-/// Returns the time to the next look.
-fn wait(clock: Clock, deadline: TimeMs) -> Duration {
+/// Returns the time until the next check of the clock.
+fn time_to_next_check(clock: Clock, deadline: TimeMs) -> Duration {
     let left_ms = deadline.since_ms(clock.now());
-    Duration::from_millis(left_ms.min(LOOK_EVERY_MS))
+    Duration::from_millis(left_ms.min(CLOCK_CHECK_INTERVAL_MS))
 }
 
 impl Future for DeadlineTimer {
@@ -49,11 +49,11 @@
             if self.clock.now() >= self.deadline {
                 return Poll::Ready(());
             }
-            if self.next_look.as_mut().poll(context).is_pending() {
+            if self.next_check.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            let next = Instant::now() + wait(self.clock, self.deadline);
-            self.next_look.as_mut().reset(next);
+            let next = Instant::now() + time_to_next_check(self.clock, self.deadline);
+            self.next_check.as_mut().reset(next);
         }
     }
 }
--- a/crates/reedsail_net/src/deflate_stream.rs
+++ b/crates/reedsail_net/src/deflate_stream.rs
@@ -1,7 +1,7 @@
-//! A stream whose messages are compressed with one dictionary for the whole connection.
+//! A stream that compresses its messages with one dictionary for the whole connection.
 //!
-//! Reports to one peer are much alike: the names, and most counts, stand in the last one already.
-//! A small window keeps the memory of a connection to some 40 KB.
+//! Consecutive reports to one peer are similar: the names and most counts are already in the previous report.
+//! A small window limits the memory of a connection to about 40 KB.
 
 use std::io;
 use std::pin::Pin;
@@ -19,31 +19,31 @@
 use tokio::io::AsyncWrite;
 use tokio::io::ReadBuf;
 
-/// The window in which repeats are found: 2 to this power, in bytes.
+/// Base-2 logarithm of the compression window in bytes.
 const WINDOW_BITS: u8 = 13;
-/// The size of the buffers between the codec and the stream.
+/// Size of the buffers between the codec and the stream.
 const BUFFER_BYTES: usize = 4_096;
-/// The most that may wait to be written before the writer is held back.
+/// Maximum number of compressed bytes that wait to be written before backpressure applies to the writer.
 const UNSENT_BYTES_MAX: usize = 1 << 20;
 
-/// Compresses what is written and unpacks what is read; a flush ends a message.
+/// Compresses written bytes and decompresses read bytes. A flush ends a message.
 #[derive(Debug)]
 pub struct DeflateStream<S> {
     stream: S,
     compress: Compress,
     decompress: Decompress,
-    /// Compressed bytes that the stream has not taken yet.
+    /// Compressed output, of which the inner stream has accepted the first `sent` bytes.
     unsent: Vec<u8>,
     sent: usize,
-    /// Set while something was written that no flush has ended.
-    dirty: bool,
-    /// Compressed bytes that were read and not unpacked yet.
-    packed: Vec<u8>,
-    packed_start: usize,
+    /// Whether bytes were written since the last flush.
+    has_unflushed: bool,
+    /// Compressed input; the bytes from `compressed_input_start` on are not decompressed yet.
+    compressed_input: Vec<u8>,
+    compressed_input_start: usize,
 }
 
 impl<S> DeflateStream<S> {
-    /// Takes over a stream whose other end does the same.
+    /// Wraps a stream. The other end must wrap it in the same way.
     pub fn new(stream: S) -> Self {
         Self {
             stream,
@@ -51,14 +51,14 @@
             decompress: Decompress::new_with_window_bits(false, WINDOW_BITS),
             unsent: Vec::new(),
             sent: 0,
-            dirty: false,
-            packed: Vec::new(),
-            packed_start: 0,
+            has_unflushed: false,
+            compressed_input: Vec::new(),
+            compressed_input_start: 0,
         }
     }
 
-    /// Compresses `bytes`, and ends the message if `flush` says so.
-    fn pack(&mut self, mut bytes: &[u8], flush: FlushCompress) -> io::Result<()> {
+    /// Compresses `bytes`, and ends the message if `flush` is `Sync`.
+    fn compress_into_unsent(&mut self, mut bytes: &[u8], flush: FlushCompress) -> io::Result<()> {
         loop {
             let before = self.compress.total_in();
             self.unsent.reserve(BUFFER_BYTES);
@@ -66,10 +66,10 @@
             self.compress
                 .compress_vec(bytes, &mut self.unsent, flush)
                 .map_err(io::Error::other)?;
-            let taken = (self.compress.total_in() - before) as usize;
-            bytes = &bytes[taken..];
-            let filled = self.unsent.capacity() == self.unsent.len();
-            if bytes.is_empty() && !(filled && room > 0) {
+            let consumed = (self.compress.total_in() - before) as usize;
+            bytes = &bytes[consumed..];
+            let is_full = self.unsent.capacity() == self.unsent.len();
+            if bytes.is_empty() && !(is_full && room > 0) {
                 return Ok(());
             }
         }
@@ -102,15 +102,15 @@
         if self.unsent.len() > UNSENT_BYTES_MAX {
             ready!(self.poll_send(context))?;
         }
-        self.pack(bytes, FlushCompress::None)?;
-        self.dirty = true;
+        self.compress_into_unsent(bytes, FlushCompress::None)?;
+        self.has_unflushed = true;
         Poll::Ready(Ok(bytes.len()))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.dirty {
-            self.pack(&[], FlushCompress::Sync)?;
-            self.dirty = false;
+        if self.has_unflushed {
+            self.compress_into_unsent(&[], FlushCompress::Sync)?;
+            self.has_unflushed = false;
         }
         ready!(self.poll_send(context))?;
         Pin::new(&mut self.stream).poll_flush(context)
@@ -130,28 +130,28 @@
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
         loop {
-            let (read_before, made_before) = (this.decompress.total_in(), this.decompress.total_out());
+            let (read_before, output_before) = (this.decompress.total_in(), this.decompress.total_out());
             let status = this
                 .decompress
                 .decompress(
-                    &this.packed[this.packed_start..],
+                    &this.compressed_input[this.compressed_input_start..],
                     buffer.initialize_unfilled(),
                     FlushDecompress::None,
                 )
                 .map_err(io::Error::other)?;
-            this.packed_start += (this.decompress.total_in() - read_before) as usize;
-            let made = (this.decompress.total_out() - made_before) as usize;
-            buffer.advance(made);
-            if made > 0 || status == Status::StreamEnd || buffer.remaining() == 0 {
+            this.compressed_input_start += (this.decompress.total_in() - read_before) as usize;
+            let output_bytes = (this.decompress.total_out() - output_before) as usize;
+            buffer.advance(output_bytes);
+            if output_bytes > 0 || status == Status::StreamEnd || buffer.remaining() == 0 {
                 return Poll::Ready(Ok(()));
             }
-            this.packed.clear();
-            this.packed_start = 0;
-            this.packed.resize(BUFFER_BYTES, 0);
-            let mut packed = ReadBuf::new(&mut this.packed);
-            let outcome = Pin::new(&mut this.stream).poll_read(context, &mut packed);
-            let read = packed.filled().len();
-            this.packed.truncate(read);
+            this.compressed_input.clear();
+            this.compressed_input_start = 0;
+            this.compressed_input.resize(BUFFER_BYTES, 0);
+            let mut input_buffer = ReadBuf::new(&mut this.compressed_input);
+            let outcome = Pin::new(&mut this.stream).poll_read(context, &mut input_buffer);
+            let read = input_buffer.filled().len();
+            this.compressed_input.truncate(read);
             ready!(outcome)?;
             if read == 0 {
                 return Poll::Ready(Ok(()));
--- a/crates/reedsail_net/src/event_splitter.rs
+++ b/crates/reedsail_net/src/event_splitter.rs
@@ -1,13 +1,13 @@
-//! Finds the events in a stream of bytes.
+//! Splits a byte stream into server-sent events.
 
-/// Cuts a stream of bytes into events (HTML Living Standard, 9.2).
+/// Splits a byte stream into server-sent events (HTML Living Standard, 9.2).
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that are now whole, each with its end.
+    /// Appends bytes and returns the events that are now complete, each with its terminating blank line.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
         self.partial.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -20,24 +20,24 @@
         events
     }
 
-    /// Returns the bytes of an event that is not whole yet.
+    /// Returns the size of the incomplete event in bytes.
     pub fn partial_bytes(&self) -> usize {
         self.partial.len()
     }
 
-    /// Forgets a part of an event, before the stream goes on elsewhere.
+    /// Discards the incomplete event, before the stream is resumed on another backend server.
     pub fn clear(&mut self) {
         self.partial.clear();
     }
 }
 
 fn find_event_end(bytes: &[u8]) -> Option<usize> {
-    let line_feeds = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-    let with_returns = bytes
+    let lf_end = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf_end = bytes
         .windows(4)
         .position(|four| four == b"\r\n\r\n")
         .map(|at| at + 4);
-    match (line_feeds, with_returns) {
+    match (lf_end, crlf_end) {
         (Some(one), Some(other)) => Some(one.min(other)),
         (one, other) => one.or(other),
     }
--- a/crates/reedsail_net/src/exchange.rs
+++ b/crates/reedsail_net/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on one connection, up to the head of its answer.
+//! One request on one connection, up to the head of its response.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -15,18 +15,18 @@
 use crate::HttpConnection;
 use crate::SendError;
 
-/// What came of sending a request on a connection.
+/// The outcome of sending a request on a connection.
 #[derive(Debug)]
 pub enum Exchange {
-    /// Not a byte was written; the request is handed back.
+    /// No byte was written. The request is returned to the caller.
     HandedBack(Unsent, Box<Request<Full<Bytes>>>),
-    /// An answer began.
+    /// The head of the response arrived.
     Head(Sent, Box<Response<Incoming>>, HttpConnection),
-    /// Something may have been written, and no answer came.
+    /// Bytes may have been written, and no response arrived.
     Failed(Sent, ErrorKind),
 }
 
-/// Sends a request and waits for the head of its answer until the deadline.
+/// Sends a request and waits for the head of its response until the deadline.
 pub async fn exchange(
     mut connection: HttpConnection,
     request: Request<Full<Bytes>>,
@@ -34,12 +34,12 @@
     deadline: DeadlineTimer,
 ) -> Exchange {
     let sent = unsent.send();
-    let answer = select! {
+    let outcome = select! {
         biased;
-        answer = connection.send(request) => answer,
+        outcome = connection.send(request) => outcome,
         () = deadline => return Exchange::Failed(sent, ErrorKind::DeadlineAfterSend),
     };
-    match answer {
+    match outcome {
         Ok(response) => Exchange::Head(sent, Box::new(response), connection),
         Err(SendError::NotWritten(request)) => Exchange::HandedBack(sent.into_unsent(), request),
         Err(SendError::AfterWrite(_)) => Exchange::Failed(sent, ErrorKind::BackendFailed),
--- a/crates/reedsail_net/src/hop_headers.rs
+++ b/crates/reedsail_net/src/hop_headers.rs
@@ -1,9 +1,9 @@
-//! Headers that concern one connection only, and are not passed on in requests or answers.
+//! Hop-by-hop headers, which are not forwarded in requests or responses.
 
 use hyper::HeaderMap;
 use hyper::header::CONNECTION;
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1).
+/// The hop-by-hop headers (RFC 9110, 7.6.1).
 pub const HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -14,7 +14,7 @@
     "upgrade",
 ];
 
-/// Removes these headers, and those that the `Connection` header names.
+/// Removes the hop-by-hop headers, including those that the `Connection` header names.
 pub fn remove_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
--- a/crates/reedsail_net/src/http_connection.rs
+++ b/crates/reedsail_net/src/http_connection.rs
@@ -17,10 +17,10 @@
 use crate::ByteCounter;
 use crate::connect;
 
-/// Why a request got no answer.
+/// The reason why a request got no response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No byte of the request was written; it is handed back.
+    /// No byte of the request was written. The request is returned to the caller.
     #[error("the connection was closed before the request was written")]
     NotWritten(Box<Request<Full<Bytes>>>),
     /// The request may have been read by the server.
@@ -28,33 +28,33 @@
     AfterWrite(hyper::Error),
 }
 
-/// A connection that is dropped, and never used again, unless its answer was read to the end.
+/// A connection to a server. It must be dropped unless its last response was read completely.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: http1::SendRequest<Full<Bytes>>,
 }
 
 impl HttpConnection {
-    /// Connects within `limit_ms` milliseconds.
+    /// Connects to a server within `limit_ms` milliseconds.
     ///
     /// # Errors
-    /// The system's, or `TimedOut`.
+    /// Returns the system's error, or `TimedOut`.
     pub async fn open(address: SocketAddr, limit_ms: u64, counter: ByteCounter) -> io::Result<Self> {
         let stream = connect(address, limit_ms, counter).await?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
         tokio::spawn(async move {
-            // Its error shows at the request that met it.
+            // The affected request returns the error.
             let _ = connection.await;
         });
         Ok(Self { sender })
     }
 
-    /// Connects within `limit_ms` milliseconds, until a request can be sent.
+    /// Connects to a server and waits until a request can be sent, for at most `limit_ms` milliseconds.
     ///
     /// # Errors
-    /// The system's; `TimedOut`; `ConnectionReset` if the server closed the connection at once.
+    /// Returns the system's error, `TimedOut`, or `ConnectionReset` if the server closed the connection at once.
     pub async fn open_ready(address: SocketAddr, limit_ms: u64) -> io::Result<Self> {
         let opening = async {
             let mut connection = Self::open(address, limit_ms, ByteCounter::default()).await?;
@@ -70,20 +70,20 @@
             .unwrap_or_else(timed_out)
     }
 
-    /// Tells whether the connection can take a request now.
+    /// Returns whether the connection can accept a request now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the connection can take a request; `false` if it is closed.
+    /// Waits until the connection can accept a request. Returns `false` if it is closed.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and returns the answer's head.
+    /// Sends a request and returns the head of the response.
     ///
     /// # Errors
-    /// Tells whether any byte of the request may have reached the server.
+    /// The variant says whether any byte of the request may have reached the server.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
--- a/crates/reedsail_net/src/lib.rs
+++ b/crates/reedsail_net/src/lib.rs
@@ -1,7 +1,7 @@
-//! Sockets, HTTP connections and threads as both programs use them.
+//! Sockets, HTTP connections and threads that both programs share.
 //!
-//! Owns no state but that of connections; relies on `reedsail_core` for time and error kinds. `NetGate`
-//! cuts links between parts of one process in tests.
+//! Owns only the state of connections. `reedsail_core` provides time and error kinds. `NetGate` cuts links between
+//! parts of one process in tests.
 
 mod byte_counter;
 mod clock;
--- a/crates/reedsail_net/src/listen.rs
+++ b/crates/reedsail_net/src/listen.rs
@@ -1,17 +1,17 @@
-//! Binds listening sockets, with a fault that names the address.
+//! Binds listening sockets, with errors that name the address.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
 
 use anyhow::Context as _;
 
-/// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1_024;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1_024;
 
-/// Listens on an address, for a runtime that does not block; port 0 takes any free one.
+/// Returns a non-blocking socket that listens on an address. Port 0 selects any free port.
 ///
 /// # Errors
-/// Names the address that cannot be listened on.
+/// Names the address if binding fails.
 pub fn listen_on(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(address),
@@ -23,6 +23,6 @@
     socket
         .bind(&address.into())
         .with_context(|| format!("cannot listen on {address}; free the port or change the setting"))?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
--- a/crates/reedsail_net/src/net_gate.rs
+++ b/crates/reedsail_net/src/net_gate.rs
@@ -1,4 +1,5 @@
-//! Cuts and delays between named parties, for tests and fault scripts; open by default.
+//! Network partitions between named parties, and frozen control threads, for tests and fault scripts. By default no
+//! link is cut.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,13 +9,13 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// Which parties cannot reach each other. Clones share their state.
+/// The injected partitions and freezes. Clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct NetGate(Arc<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    used: AtomicBool,
+    is_used: AtomicBool,
     rules: Mutex<Rules>,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl NetGate {
-    /// Puts a party into a group, so that whole groups can be cut off.
+    /// Assigns a party to a group, so that a whole group can be cut off.
     pub fn assign(&self, party: &str, group: &str) {
         self.change(|rules| {
             rules.groups.insert(party.to_owned(), group.to_owned());
@@ -39,10 +40,10 @@
             rules.cuts.insert((one.to_owned(), other.to_owned()));
             rules.cuts.insert((other.to_owned(), one.to_owned()));
         });
-        self.0.used.store(true, Ordering::Release);
+        self.0.is_used.store(true, Ordering::Release);
     }
 
-    /// Mends a cut.
+    /// Removes the cut between two parties or groups.
     pub fn heal(&self, one: &str, other: &str) {
         self.change(|rules| {
             rules.cuts.remove(&(one.to_owned(), other.to_owned()));
@@ -50,34 +51,34 @@
         });
     }
 
-    /// Has a party's control thread stand still, or go on.
-    pub fn freeze(&self, party: &str, on: bool) {
+    /// Freezes the control thread of a party, or lets it continue.
+    pub fn freeze(&self, party: &str, is_frozen: bool) {
         self.change(|rules| {
-            if on {
+            if is_frozen {
                 rules.frozen.insert(party.to_owned());
             } else {
                 rules.frozen.remove(party);
             }
         });
-        self.0.used.store(true, Ordering::Release);
+        self.0.is_used.store(true, Ordering::Release);
     }
 
-    /// Tells whether a party is to stand still.
+    /// Returns whether the control thread of a party is frozen.
     pub fn is_frozen(&self, party: &str) -> bool {
-        if !self.0.used.load(Ordering::Acquire) {
+        if !self.0.is_used.load(Ordering::Acquire) {
             return false;
         }
         let rules = self.0.rules.lock().unwrap_or_else(PoisonError::into_inner);
         rules.frozen.contains(party)
     }
 
-    /// Tells whether a message from one party to another is lost.
+    /// Returns whether messages from one party to another are lost.
     pub fn is_cut(&self, from: &str, to: &str) -> bool {
-        if !self.0.used.load(Ordering::Acquire) {
+        if !self.0.is_used.load(Ordering::Acquire) {
             return false;
         }
         let rules = self.0.rules.lock().unwrap_or_else(PoisonError::into_inner);
-        // A party without a group is in none, and nothing cuts it off.
+        // A party without a group gets the empty group name, which no cut contains.
         let group = |party: &str| rules.groups.get(party).cloned().unwrap_or_default();
         let (from_group, to_group) = (group(from), group(to));
         let pairs = [
--- a/crates/reedsail_net/src/pages.rs
+++ b/crates/reedsail_net/src/pages.rs
@@ -1,4 +1,4 @@
-//! Serves small pages to readers that are not callers: the balancer, operators, peers.
+//! Serves small pages to clients that are not callers: the load balancer, operators, peers.
 
 use std::convert::Infallible;
 
@@ -13,20 +13,20 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Answers every request on a listener, on this thread, until the task is dropped. `server` says how
-/// connections are served.
-pub async fn serve_pages<F, A>(listener: TcpListener, server: http1::Builder, answer: F)
+/// Answers every request on a listener, on the current thread, until the task is dropped. `http` configures the
+/// connections.
+pub async fn serve_pages<F, A>(listener: TcpListener, http: http1::Builder, answer: F)
 where
     F: Fn(Request<Incoming>) -> A + Clone + 'static,
     A: Future<Output = Result<Response<Full<Bytes>>, Infallible>> + 'static,
 {
     loop {
-        // A connection that broke before it was taken concerns nobody.
+        // A connection that failed before it was accepted needs no handling.
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        let connection = server.serve_connection(TokioIo::new(stream), service_fn(answer.clone()));
-        // A reader that goes away needs no answer.
+        let connection = http.serve_connection(TokioIo::new(stream), service_fn(answer.clone()));
+        // A client that disconnected needs no response.
         spawn_local(async move { drop(connection.await) });
     }
 }
--- a/crates/reedsail_net/src/persistent_client.rs
+++ b/crates/reedsail_net/src/persistent_client.rs
@@ -1,7 +1,7 @@
-//! A client of one HTTP server that makes one call after the other over a connection that it keeps.
+//! A client of one HTTP server that sends sequential calls over a persistent connection.
 //!
-//! Owns the connection, which is kept only after a whole answer: after anything else nobody knows what comes next on
-//! it.
+//! Owns the connection and reuses it only after a complete response: otherwise the next bytes on the connection are
+//! unknown.
 
 use std::net::SocketAddr;
 
@@ -18,52 +18,52 @@
 use crate::ByteCounter;
 use crate::HttpConnection;
 
-/// Why a call had no whole answer.
+/// The reason why a call got no complete response.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct CallError(String);
 
 impl CallError {
-    fn of(error: impl std::fmt::Display) -> Self {
+    fn from_display(error: impl std::fmt::Display) -> Self {
         Self(error.to_string())
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct CompleteResponse {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// The client.
+/// A client of one server.
 #[derive(Debug)]
 pub struct PersistentClient {
     server: SocketAddr,
-    connect_limit_ms: u64,
+    connect_timeout_ms: u64,
     body_bytes_max: usize,
     connection: Option<HttpConnection>,
 }
 
 impl PersistentClient {
-    /// Makes a client of a server, with limits for connecting, in milliseconds, and for an answer, in bytes.
-    pub fn new(server: SocketAddr, connect_limit_ms: u64, body_bytes_max: usize) -> Self {
+    /// Creates a client of a server, with a connect timeout in milliseconds and a maximum response body in bytes.
+    pub fn new(server: SocketAddr, connect_timeout_ms: u64, body_bytes_max: usize) -> Self {
         Self {
             server,
-            connect_limit_ms,
+            connect_timeout_ms,
             body_bytes_max,
             connection: None,
         }
     }
 
-    /// Makes one call without a body.
+    /// Sends one `GET` request.
     ///
     /// # Errors
-    /// The server could not be reached, broke off, or answered with more than the limit.
+    /// Returns an error if the server is unreachable, the connection fails, or the response body exceeds the limit.
     pub async fn get(&mut self, path: &str) -> Result<CompleteResponse, CallError> {
         let mut connection = match self.connection.take().filter(HttpConnection::is_ready) {
             Some(connection) => connection,
@@ -73,11 +73,11 @@
             .uri(path)
             .header(HOST, self.server.to_string())
             .body(Full::<Bytes>::default())
-            .map_err(CallError::of)?;
-        let response = connection.send(request).await.map_err(CallError::of)?;
+            .map_err(CallError::from_display)?;
+        let response = connection.send(request).await.map_err(CallError::from_display)?;
         let (head, body) = response.into_parts();
         let body = Limited::new(body, self.body_bytes_max);
-        let body = body.collect().await.map_err(CallError::of)?.to_bytes();
+        let body = body.collect().await.map_err(CallError::from_display)?.to_bytes();
         self.connection = Some(connection);
         Ok(CompleteResponse {
             status: head.status,
@@ -87,12 +87,14 @@
     }
 
     async fn connect(&self) -> Result<HttpConnection, CallError> {
-        let opening = HttpConnection::open(self.server, self.connect_limit_ms, ByteCounter::default());
-        let mut connection = opening.await.map_err(CallError::of)?;
+        let opening = HttpConnection::open(self.server, self.connect_timeout_ms, ByteCounter::default());
+        let mut connection = opening.await.map_err(CallError::from_display)?;
         if connection.ready().await {
             Ok(connection)
         } else {
-            Err(CallError("the connection was closed".to_owned()))
+            Err(CallError(
+                "the server closed the connection before the request was sent".to_owned(),
+            ))
         }
     }
 }
--- a/crates/reedsail_net/src/workers.rs
+++ b/crates/reedsail_net/src/workers.rs
@@ -1,4 +1,4 @@
-//! Threads that each run one future on a runtime of their own.
+//! Threads that each run one future on a separate runtime.
 
 use std::thread::JoinHandle;
 
@@ -6,52 +6,52 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// The threads of one process, which end together.
+/// The threads of one process. `close` ends them together.
 #[derive(Debug)]
 pub struct Workers {
-    killed: watch::Sender<bool>,
+    is_closing: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Default for Workers {
     fn default() -> Self {
         Self {
-            killed: watch::Sender::new(false),
+            is_closing: watch::Sender::new(false),
             threads: Vec::new(),
         }
     }
 }
 
 impl Workers {
-    /// Runs a future on a thread with a runtime of its own, until it or all of them end.
+    /// Runs a future on a new thread with a separate runtime, until the future completes or `close` is called.
     ///
     /// # Errors
-    /// The system's, if no thread can be started.
-    pub fn start<F, T>(&mut self, name: &str, make: F) -> anyhow::Result<()>
+    /// Returns the system's error if no thread can be started.
+    pub fn start<F, T>(&mut self, name: &str, make_future: F) -> anyhow::Result<()>
     where
         F: FnOnce() -> T + Send + 'static,
         T: Future<Output = std::io::Result<()>>,
     {
-        let thread = spawn_worker(name, self.killed.subscribe(), make)?;
+        let thread = spawn_worker(name, self.is_closing.subscribe(), make_future)?;
         self.threads.push(thread);
         Ok(())
     }
 
-    /// Ends every thread at once, and waits for that.
+    /// Ends every thread at once and waits until they have ended.
     pub fn close(self) {
-        self.killed.send_replace(true);
+        self.is_closing.send_replace(true);
         for thread in self.threads {
-            // A thread that panicked is over as well.
+            // A thread that panicked has also ended.
             let _ = thread.join();
         }
     }
 }
 
-/// Runs a future on a thread, until it ends or `killed` turns true.
+/// Runs a future on a new thread, until the future completes or `is_closing` becomes true.
 fn spawn_worker<F, T>(
     name: &str,
-    mut killed: watch::Receiver<bool>,
-    make: F,
+    mut is_closing: watch::Receiver<bool>,
+    make_future: F,
 ) -> anyhow::Result<JoinHandle<()>>
 where
     F: FnOnce() -> T + Send + 'static,
@@ -68,12 +68,12 @@
         let tasks = LocalSet::new();
         runtime.block_on(tasks.run_until(async move {
             tokio::select! {
-                ended = make() => {
+                ended = make_future() => {
                     if let Err(error) = ended {
-                        log::error!("a thread of this process ended: {error}");
+                        log::error!("a thread of this process failed: {error}");
                     }
                 }
-                _ = killed.wait_for(|killed| *killed) => {}
+                _ = is_closing.wait_for(|is_closing| *is_closing) => {}
             }
         }));
         drop(tasks);
