--- a/crates/reedsail_cli/src/keys_command.rs
+++ b/crates/reedsail_cli/src/keys_command.rs
@@ -12,7 +12,7 @@
     let fits = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
     if name.is_empty() || name.len() > 64 || !name.chars().all(fits) {
         return Err(Failure::Usage(format!(
-            "`{name}` is no name: use at most 64 letters, digits, `-`, `_` and `.`"
+            "invalid name `{name}`: use at most 64 letters, digits, `-`, `_` and `.`"
         )));
     }
     let file = KeyFile {
--- a/crates/reedsail_daemon/tests/process.rs
+++ b/crates/reedsail_daemon/tests/process.rs
@@ -221,7 +221,7 @@
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).unwrap();
     assert!(
-        text.contains("line 1, column 11: `instance`: `hall a` is no name"),
+        text.contains("line 1, column 11: `instance`: invalid name `hall a`"),
         "{text}"
     );
     assert!(text.contains("key `platform` is missing"), "{text}");
--- a/crates/reedsail_document/src/fault.rs
+++ b/crates/reedsail_document/src/fault.rs
@@ -1,4 +1,4 @@
-//! A fault of a document: where it is, what is wrong, what is allowed.
+//! A fault in a document: its position, what is wrong, and what is allowed.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -6,14 +6,14 @@
 use marked_yaml::LoadError;
 use marked_yaml::Marker;
 
-/// One fault.
+/// A fault in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The line, counted from one.
+    /// The line, starting at one; zero if unknown.
     pub line: usize,
-    /// The column, counted from one.
+    /// The column, starting at one; zero if unknown.
     pub column: usize,
-    /// The path of keys and indices.
+    /// The path of keys and indices to the value.
     pub path: String,
     /// What is wrong and what is allowed.
     pub message: String,
@@ -31,8 +31,8 @@
             LoadError::DuplicateKey(keys) => keys.key.span().start().copied(),
         };
         let message = match error {
-            LoadError::DuplicateKey(keys) => format!("key `{}` stands twice; remove one", keys.key.as_str()),
-            other => format!("not readable as YAML: {other}"),
+            LoadError::DuplicateKey(keys) => format!("duplicate key `{}`; remove one", keys.key.as_str()),
+            other => format!("invalid YAML: {other}"),
         };
         Self::at(marker.as_ref(), String::new(), message)
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Writes faults a line each.
+/// Returns the faults as text, one per line.
 pub fn render_faults(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
--- a/crates/reedsail_document/src/file.rs
+++ b/crates/reedsail_document/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads a whole file by a reader of its text, as programs do with their settings.
+//! Reads and parses a file, such as the settings of a program.
 
 use std::path::Path;
 
@@ -7,12 +7,12 @@
 use crate::Fault;
 use crate::render_faults;
 
-/// Reads a file and what its text says.
+/// Reads a file and parses its text with `parse`.
 ///
 /// # Errors
-/// Names the file that cannot be read, or every fault of its text.
-pub fn read_file<T>(path: &Path, read: impl FnOnce(&str) -> Result<T, Vec<Fault>>) -> anyhow::Result<T> {
-    let shown = path.display();
-    let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {shown}"))?;
-    read(&text).map_err(|faults| anyhow::anyhow!("{shown}:\n{}", render_faults(&faults)))
+/// Names the file that cannot be read, or every fault in its text.
+pub fn read_file<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, Vec<Fault>>) -> anyhow::Result<T> {
+    let displayed_path = path.display();
+    let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {displayed_path}"))?;
+    parse(&text).map_err(|faults| anyhow::anyhow!("{displayed_path}:\n{}", render_faults(&faults)))
 }
--- a/crates/reedsail_document/src/lib.rs
+++ b/crates/reedsail_document/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reads YAML documents strictly, collecting every fault with its line and path.
+//! Reads YAML documents strictly and collects every fault with its line and path.
 //!
-//! Settings and bundles share it, so that both report in the same words.
+//! Settings and bundles share this crate, so that both report faults in the same form.
 
 mod fault;
 mod file;
@@ -14,10 +14,10 @@
 pub use mapping::Mapping;
 pub use value::Value;
 
-/// Parses a document and hands its top mapping to `read`.
+/// Parses a document and passes its top-level mapping to `read`.
 ///
 /// # Errors
-/// Every fault found, in the order of the lines; the document is then of no use at all.
+/// Returns every fault, ordered by position. A document with any fault is rejected as a whole.
 pub fn read_document<T>(
     text: &str,
     read: impl FnOnce(&mut Mapping<'_>) -> Option<T>,
@@ -26,8 +26,8 @@
     let node = marked_yaml::parse_yaml_with_options(0, text, options)
         .map_err(|error| vec![Fault::syntax(&error)])?;
     let faults = Faults::default();
-    let top = Value::top(&node, &faults);
-    let outcome = top.mapping().and_then(|mut mapping| {
+    let root = Value::root(&node, &faults);
+    let outcome = root.mapping().and_then(|mut mapping| {
         let outcome = read(&mut mapping);
         mapping.close();
         outcome
--- a/crates/reedsail_document/src/value.rs
+++ b/crates/reedsail_document/src/value.rs
@@ -1,4 +1,4 @@
-//! One value of a document, with its path.
+//! A value of a document and its path.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -10,7 +10,7 @@
 use crate::Faults;
 use crate::Mapping;
 
-/// A value; each reading of it that fails adds a fault and returns `None`.
+/// A value of a document. Each failed read adds a fault and returns `None`, or an empty list.
 #[derive(Clone, Debug)]
 pub struct Value<'a> {
     node: &'a Node,
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Value<'a> {
-    pub(crate) fn top(node: &'a Node, faults: &'a Faults) -> Self {
+    pub(crate) fn root(node: &'a Node, faults: &'a Faults) -> Self {
         Self::new(node, String::new(), faults)
     }
 
@@ -27,7 +27,7 @@
         Self { node, path, faults }
     }
 
-    /// Returns the path of keys and indices.
+    /// Returns the path of keys and indices to the value.
     pub fn path(&self) -> &str {
         &self.path
     }
@@ -58,26 +58,26 @@
         nodes.iter().enumerate().map(element).collect()
     }
 
-    /// Reads a text that is not empty.
+    /// Reads a non-empty string.
     pub fn text(&self) -> Option<String> {
         match self.node.as_scalar() {
             Some(scalar) if !scalar.as_str().is_empty() => Some(scalar.as_str().to_owned()),
             _ => {
-                self.fault("must be a text that is not empty");
+                self.fault("must be a non-empty string");
                 None
             }
         }
     }
 
-    /// Reads a name: letters, digits, `-`, `_` and `.`, at most 64 of them.
+    /// Reads a name of at most 64 letters, digits, `-`, `_` and `.`.
     pub fn name(&self) -> Option<String> {
         let text = self.text()?;
-        let fits = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-        if text.len() <= 64 && text.chars().all(fits) {
+        let is_allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+        if text.len() <= 64 && text.chars().all(is_allowed) {
             return Some(text);
         }
         self.fault(format!(
-            "`{text}` is no name: use at most 64 letters, digits, `-`, `_` and `.`"
+            "invalid name `{text}`: use at most 64 letters, digits, `-`, `_` and `.`"
         ));
         None
     }
@@ -91,8 +91,8 @@
         match text.parse::<N>() {
             Ok(number) if range.contains(&number) => Some(number),
             _ => {
-                let (least, most) = (range.start(), range.end());
-                self.fault(format!("`{text}` must be a number from {least} to {most}"));
+                let (min, max) = (range.start(), range.end());
+                self.fault(format!("`{text}` must be a number from {min} to {max}"));
                 None
             }
         }
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Reads one of the given words.
+    /// Reads one of the given words and returns its value.
     pub fn choice<T: Copy>(&self, choices: &[(&str, T)]) -> Option<T> {
         let text = self.text()?;
         let chosen = choices.iter().find(|(word, _)| *word == text);
