--- a/crates/reedsail_bundle/src/bundle.rs
+++ b/crates/reedsail_bundle/src/bundle.rs
@@ -1,4 +1,4 @@
-//! What a bundle says, after it was checked.
+//! The content of a validated bundle.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,18 +6,18 @@
 use reedsail_scheduling::Class;
 use reedsail_scheduling::Digest;
 
-/// One version of everything that operators decide.
+/// One version of the configuration that operators control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bundle {
-    /// Counts up from one.
+    /// The version number, starting at one.
     pub version: u32,
-    /// The services by name.
+    /// The services, by name.
     pub services: BTreeMap<String, Service>,
-    /// The workspaces by name.
+    /// The workspaces, by name.
     pub workspaces: BTreeMap<String, Workspace>,
 }
 
-/// What kind of backend servers a service has.
+/// The kind of backend servers of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceKind {
     /// Model engines behind `POST /v1/chat/completions`.
@@ -26,31 +26,31 @@
     Plain,
 }
 
-/// In what a service's cost is counted.
+/// The unit in which the cost of a service is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CostUnit {
     /// Generated tokens.
     Tokens,
-    /// One for each request.
+    /// One unit per request.
     Requests,
-    /// Milliseconds of a slot.
+    /// Milliseconds of slot usage.
     Milliseconds,
 }
 
 /// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// What its backend servers are.
+    /// The kind of its backend servers.
     pub kind: ServiceKind,
     /// The models that it serves; empty for a plain service.
     pub models: Vec<String>,
     /// The path prefix of a plain service.
     pub path_prefix: Option<String>,
-    /// In what its cost is counted.
+    /// The unit in which its cost is measured.
     pub cost_unit: CostUnit,
-    /// Its backend servers by name.
+    /// Its backend servers, by name.
     pub servers: BTreeMap<String, Server>,
-    /// Which of its calls may not be repeated; the first rule that fits applies.
+    /// The rules for repeating its calls and for idempotency keys; the first matching rule applies.
     pub calls: Vec<CallRule>,
 }
 
@@ -59,66 +59,66 @@
 pub struct Server {
     /// Its failure domain.
     pub domain: String,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// Whether a call may be sent again when its outcome is not known.
+/// Whether a call may be retried when its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may.
+    /// The call may be retried.
     Allowed,
-    /// It may not.
+    /// The call may not be retried.
     Never,
 }
 
 /// Whether a call must carry an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyRule {
-    /// Without one it is refused.
+    /// A call without a key is refused.
     Required,
-    /// With one it runs at most once over the fleet; without, it is sent once.
+    /// A call with a key runs at most once across the fleet; a call without a key is sent once.
     Optional,
 }
 
-/// How calls with a method and path prefix are to be treated.
+/// The rule for calls with a given method and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRule {
     /// The method.
     pub method: String,
     /// The path prefix.
     pub path_prefix: String,
-    /// Whether it may be repeated.
+    /// Whether the call may be retried when its outcome is unknown.
     pub repeat: Repeat,
-    /// Whether it needs a key.
+    /// Whether the call must carry an idempotency key.
     pub key: KeyRule,
 }
 
 /// A workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// Its weight against other workspaces.
+    /// Its weight relative to other workspaces.
     pub weight: f64,
     /// The SHA-256 digests of its callers' keys.
     pub key_digests: Vec<Digest>,
-    /// The class of requests that name none.
+    /// The class of requests that specify none.
     pub default_class: Class,
     /// Its limits.
     pub limits: WorkspaceLimits,
 }
 
-/// Bounds on one workspace at one daemon.
+/// The limits for one workspace on one instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkspaceLimits {
-    /// The most requests that wait, for each service.
+    /// The maximum number of queued requests per service.
     pub queued_max: u32,
-    /// The most bytes of bodies that wait, for each service.
+    /// The maximum total body size of queued requests per service, in bytes.
     pub queued_bytes_max: u64,
-    /// The most requests that run at once, for each service.
+    /// The maximum number of concurrently running requests per service.
     pub running_max: u32,
-    /// Requests a second, if limited.
+    /// The maximum rate of requests per second, if limited.
     pub requests_per_s: Option<f64>,
 }
 
@@ -134,13 +134,13 @@
 }
 
 impl Service {
-    /// Returns how a call is to be treated.
+    /// Returns the rule that applies to a call.
     ///
-    /// Without a rule, a model's call and a method that RFC 9110 calls idempotent may be repeated,
-    /// and any other is sent once.
+    /// Without a matching rule, calls of a model service and methods that RFC 9110 defines as idempotent may be
+    /// retried. Any other call is sent once.
     pub fn rule_for(&self, method: &str, path: &str) -> (Repeat, KeyRule) {
-        let fits = |rule: &&CallRule| rule.method == method && path.starts_with(&rule.path_prefix);
-        if let Some(rule) = self.calls.iter().find(fits) {
+        let matches_call = |rule: &&CallRule| rule.method == method && path.starts_with(&rule.path_prefix);
+        if let Some(rule) = self.calls.iter().find(matches_call) {
             return (rule.repeat, rule.key);
         }
         let idempotent = matches!(method, "GET" | "HEAD" | "PUT" | "DELETE" | "OPTIONS");
--- a/crates/reedsail_bundle/src/codec.rs
+++ b/crates/reedsail_bundle/src/codec.rs
@@ -1,4 +1,4 @@
-//! Digests, compression and patches of bundle content.
+//! Computes digests, compression and patches of bundle content.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,20 +13,20 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The largest content that is unpacked; a record that unpacks to more is refused.
+/// Maximum size of decompressed content; a record with larger content is rejected.
 const CONTENT_BYTES_MAX: u64 = 16 << 20;
 
-/// Why content could not be unpacked.
+/// The reason why content could not be decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum CodecError {
-    /// The text is no Base64.
-    #[error("the content is not Base64")]
+    /// The text is not valid Base64.
+    #[error("the content is not valid Base64")]
     NotBase64,
-    /// The bytes do not unpack to a text of a permitted size.
-    #[error("the content does not unpack to a text of at most 16 MiB")]
+    /// The bytes do not decompress to text within the size limit.
+    #[error("the content does not decompress to text of at most 16 MiB")]
     NotDeflate,
-    /// The patch does not fit its base.
-    #[error("the patch does not fit its base")]
+    /// The patch does not apply to its base.
+    #[error("the patch does not apply to its base")]
     PatchMisfit,
 }
 
--- a/crates/reedsail_bundle/src/content_size.rs
+++ b/crates/reedsail_bundle/src/content_size.rs
@@ -1,21 +1,21 @@
-//! How large a bundle's content is, whole, packed, and as a change.
+//! The size of a bundle's content: uncompressed, compressed, and as a patch.
 
 use crate::codec::make_patch;
 use crate::codec::pack;
 
-/// The sizes that decide what a change of bundle costs on the wire, in bytes.
+/// The sizes, in bytes, that determine the network cost of a bundle change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentSize {
-    /// The content as written.
+    /// The uncompressed content.
     pub whole_bytes: usize,
-    /// The content as a checkpoint carries it.
+    /// The compressed content in a checkpoint.
     pub packed_bytes: usize,
-    /// The change from the base as a proposal carries it.
+    /// The patch from the base in a proposal.
     pub patch_bytes: usize,
 }
 
 impl ContentSize {
-    /// Measures the content of a successor and its base.
+    /// Measures the content `text` and its patch from `base`.
     pub fn measure(base: &str, text: &str) -> Self {
         Self {
             whole_bytes: text.len(),
--- a/crates/reedsail_bundle/src/diff.rs
+++ b/crates/reedsail_bundle/src/diff.rs
@@ -1,21 +1,21 @@
-//! What a new bundle changes, in words for the person who signs it off.
+//! Differences between two bundles, as text for the approver.
 
 use std::collections::BTreeMap;
 
 use crate::Bundle;
 
-/// One difference.
+/// A difference between two bundles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BundleChange {
     /// `service` or `workspace`.
     pub what: &'static str,
-    /// Its name.
+    /// The name of the service or workspace.
     pub name: String,
-    /// What changes.
+    /// A description of the difference.
     pub change: String,
 }
 
-/// Lists what differs between two bundles, services first.
+/// Returns the differences between two bundles, services first.
 pub fn diff_bundles(base: &Bundle, next: &Bundle) -> Vec<BundleChange> {
     let mut changes = Vec::new();
     diff_entries("service", &base.services, &next.services, &mut changes);
@@ -47,14 +47,14 @@
     }
 }
 
-/// Names the lines of the readable form that differ.
+/// Returns the lines of the debug representations that differ.
 fn describe_change<T: std::fmt::Debug>(before: &T, after: &T) -> String {
     let (before, after) = (format!("{before:#?}"), format!("{after:#?}"));
     let before_lines: Vec<&str> = before.lines().map(str::trim).collect();
     let after_lines: Vec<&str> = after.lines().map(str::trim).collect();
-    let gone = before_lines.iter().filter(|line| !after_lines.contains(line));
-    let come = after_lines.iter().filter(|line| !before_lines.contains(line));
-    let gone: Vec<String> = gone.map(|line| format!("-{line}")).collect();
-    let come: Vec<String> = come.map(|line| format!("+{line}")).collect();
-    [gone, come].concat().join(" ")
+    let removed_lines = before_lines.iter().filter(|line| !after_lines.contains(line));
+    let added_lines = after_lines.iter().filter(|line| !before_lines.contains(line));
+    let removed_lines: Vec<String> = removed_lines.map(|line| format!("-{line}")).collect();
+    let added_lines: Vec<String> = added_lines.map(|line| format!("+{line}")).collect();
+    [removed_lines, added_lines].concat().join(" ")
 }
--- a/crates/reedsail_bundle/src/follower.rs
+++ b/crates/reedsail_bundle/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the bundle stream: checks each record, folds it, keeps the content in force.
+//! Follows the bundle stream: verifies each record, applies it, and keeps the content in force.
 
 use reedsail_scheduling::AcceptedVersion;
 use reedsail_scheduling::FoldVerdict;
@@ -10,18 +10,18 @@
 use crate::SignedHead;
 use crate::TrustedKeys;
 
-/// What a record did.
+/// The effect of a record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Followed {
     /// A new version is in force.
     InForce(AcceptedVersion),
-    /// The record changes nothing, for the fold's reason.
+    /// The record changes nothing; the verdict is the reason.
     Unchanged(FoldVerdict),
-    /// The record is invalid; every reader skips it alike.
+    /// The record is invalid. Every reader skips it.
     Invalid(RecordError),
 }
 
-/// The accepted content as a reader of the log knows it.
+/// The state of a reader of the bundle stream: the accepted version and its content.
 #[derive(Clone, Debug, Default)]
 pub struct BundleFollower {
     trusted: TrustedKeys,
@@ -30,7 +30,7 @@
 }
 
 impl BundleFollower {
-    /// Makes a follower that knows nothing yet.
+    /// Creates a follower without an accepted version.
     pub fn new(trusted: TrustedKeys) -> Self {
         Self {
             trusted,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the offset from which to read on.
+    /// Returns the offset of the next record to read.
     pub fn next_offset(&self) -> u64 {
         self.fold.next_offset()
     }
@@ -54,12 +54,12 @@
         self.accepted.as_ref().map(|(_, text)| text.as_str())
     }
 
-    /// Tells whether every record since a sure start was read; only then can proposals be judged.
+    /// Returns whether every record since a known start was read. Proposals can be judged only in this case.
     pub fn is_sure(&self) -> bool {
         self.fold.has_complete_history()
     }
 
-    /// Returns a record that tells the version in force to a log or a peer.
+    /// Returns a checkpoint record of the version in force, for the log or for a peer.
     pub fn checkpoint(&self) -> Option<BundleRecord> {
         let (head, text) = self.accepted.as_ref()?;
         Some(BundleRecord::checkpoint(
@@ -69,12 +69,12 @@
         ))
     }
 
-    /// Notes a read that found records from `first_offset` on.
+    /// Records that the oldest retained record of the log is at `first_offset`.
     pub fn note_truncation(&mut self, first_offset: u64) {
         self.fold.note_truncation(first_offset);
     }
 
-    /// Takes in the record at an offset of the log.
+    /// Applies the record at an offset of the log.
     pub fn follow(&mut self, offset: u64, bytes: &[u8]) -> Followed {
         let checked = BundleRecord::parse(bytes).and_then(|record| self.check(record));
         match checked {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Learns the version in force from a peer's checkpoint record.
+    /// Adopts the version in force from a peer's checkpoint record, if it is newer.
     ///
     /// # Errors
     /// The record is unreadable, not a checkpoint, or not properly signed.
@@ -101,7 +101,9 @@
             as_of,
         } = rollout
         else {
-            return Err(RecordError::Unreadable("a peer sent no checkpoint".to_owned()));
+            return Err(RecordError::Unreadable(
+                "the peer's record is not a checkpoint".to_owned(),
+            ));
         };
         if !self
             .fold
@@ -113,8 +115,8 @@
         Ok(true)
     }
 
-    /// Checks a record's signatures and content. Content is `None` where it could be had only from
-    /// a base that is not the one in force; the fold then finds the record stale.
+    /// Verifies a record's signatures and content. The content is `None` for a checkpoint of a version that is already
+    /// known, and for a patch whose base is not in force; the fold then reports the patch as stale.
     fn check(
         &self,
         record: BundleRecord,
@@ -122,7 +124,7 @@
         record.head.verify(&self.trusted)?;
         let rollout = record.rollout()?;
         let text = match rollout {
-            RolloutRecord::Checkpoint { version, .. } if self.knows(version) => None,
+            RolloutRecord::Checkpoint { version, .. } if self.is_known(version) => None,
             RolloutRecord::Checkpoint { .. } => Some(record.content(None)?),
             RolloutRecord::Proposal {
                 base_version,
@@ -143,7 +145,7 @@
         Ok((record, rollout, text))
     }
 
-    fn knows(&self, version: u32) -> bool {
+    fn is_known(&self, version: u32) -> bool {
         self.fold.in_force().is_some_and(|known| known.version >= version)
     }
 
--- a/crates/reedsail_bundle/src/keys.rs
+++ b/crates/reedsail_bundle/src/keys.rs
@@ -5,12 +5,12 @@
 use ed25519_dalek::SigningKey;
 use ed25519_dalek::VerifyingKey;
 
-/// What a key may do.
+/// The role of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyRole {
-    /// Writes bundles.
+    /// Signs bundles as their author.
     Author,
-    /// Signs bundles off.
+    /// Approves bundles.
     Approver,
 }
 
@@ -18,26 +18,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublicKey(pub [u8; 32]);
 
-/// A secret key; it leaves its owner's machine in no message.
+/// A secret key. It never leaves its owner's machine in a message.
 pub struct SecretKey(SigningKey);
 
 impl SecretKey {
-    /// Makes a key from the operating system's randomness.
+    /// Generates a key from the operating system's randomness.
     pub fn generate() -> Self {
         Self::from_bytes(rand::random())
     }
 
-    /// Takes over a key's bytes.
+    /// Creates a key from its bytes.
     pub fn from_bytes(bytes: [u8; 32]) -> Self {
         Self(SigningKey::from_bytes(&bytes))
     }
 
-    /// Returns the key's bytes, to be stored by its owner.
+    /// Returns the bytes of the key, for storage by its owner.
     pub fn to_bytes(&self) -> [u8; 32] {
         self.0.to_bytes()
     }
 
-    /// Returns the public half.
+    /// Returns the public key.
     pub fn public(&self) -> PublicKey {
         PublicKey(self.0.verifying_key().to_bytes())
     }
@@ -49,32 +49,32 @@
 }
 
 impl PublicKey {
-    /// Tells whether a signature is this key's, by the strict rules.
+    /// Returns whether a signature is valid for this key under strict verification.
     pub fn verify(&self, message: &[u8], signature: &[u8; 64]) -> bool {
         let signature = DalekSignature::from_bytes(signature);
         VerifyingKey::from_bytes(&self.0).is_ok_and(|key| key.verify_strict(message, &signature).is_ok())
     }
 }
 
-/// A key that settings name.
+/// A trusted key from the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrustedKey {
     /// The person's name.
     pub name: String,
-    /// What the person may do.
+    /// The role of the person.
     pub role: KeyRole,
     /// The person's key.
     pub key: PublicKey,
 }
 
-/// The keys that settings name.
+/// The trusted keys from the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrustedKeys(pub Vec<TrustedKey>);
 
 impl TrustedKeys {
-    /// Finds a person's key in a role.
+    /// Returns the key of a person in a role.
     pub fn find(&self, name: &str, role: KeyRole) -> Option<PublicKey> {
-        let fits = |trusted: &&TrustedKey| trusted.name == name && trusted.role == role;
-        self.0.iter().find(fits).map(|trusted| trusted.key)
+        let is_match = |trusted: &&TrustedKey| trusted.name == name && trusted.role == role;
+        self.0.iter().find(is_match).map(|trusted| trusted.key)
     }
 }
--- a/crates/reedsail_bundle/src/lib.rs
+++ b/crates/reedsail_bundle/src/lib.rs
@@ -1,4 +1,4 @@
-//! Bundles: what operators decide, how it is checked, signed, recorded and followed.
+//! Bundles: the configuration that operators control, and how it is validated, signed, recorded and followed.
 
 mod bundle;
 
--- a/crates/reedsail_bundle/src/read.rs
+++ b/crates/reedsail_bundle/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a bundle's YAML.
+//! Parses and validates the YAML of a bundle.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,15 +22,15 @@
 use crate::Workspace;
 use crate::WorkspaceLimits;
 
-/// The most slots of one backend server.
+/// Maximum number of slots of one backend server.
 const SERVER_SLOTS_MAX: u32 = 4_096;
-/// The largest weight; the smallest is its inverse.
+/// Maximum weight; the minimum weight is its inverse.
 const WEIGHT_MAX: f64 = 1_000.0;
 
-/// Reads a bundle.
+/// Parses a bundle.
 ///
 /// # Errors
-/// Every fault of the document, with line and path; nothing of it is then usable.
+/// Returns every fault in the document, with its line and path. A bundle with any fault is rejected as a whole.
 pub fn read_bundle(text: &str) -> Result<Bundle, Vec<Fault>> {
     read_document(text, |top| {
         let version = top
@@ -46,7 +46,7 @@
     })
 }
 
-/// Reads a list of named entries, refusing a name, or its hash, that stands twice.
+/// Reads a list of named entries, and adds a fault for each duplicate name and each hash collision of names.
 fn read_named<T>(
     list: &Value<'_>,
     what: &str,
@@ -66,7 +66,7 @@
         };
         if let Some(other) = hashes.insert(NameHash::of(&name), name.clone()) {
             if other == name {
-                value.fault(format!("{what} `{name}` stands twice; remove or rename one"));
+                value.fault(format!("duplicate {what} `{name}`; remove or rename one"));
             } else {
                 value.fault(format!(
                     "{what} `{name}` has the same hash as `{other}`; rename one"
@@ -143,7 +143,7 @@
         let Some(model) = value.name() else { continue };
         if let Some(other) = seen.insert(model.clone(), value.path().to_owned()) {
             value.fault(format!(
-                "model `{model}` stands at `{other}` too; one service serves a model"
+                "model `{model}` is also at `{other}`; list each model in one service only"
             ));
         }
         models.push(model);
@@ -169,7 +169,7 @@
     for name in servers.keys() {
         if let Some(other) = seen.insert(name.clone(), list.path().to_owned()) {
             list.fault(format!(
-                "backend server `{name}` stands at `{other}` too; name each once"
+                "backend server `{name}` is also at `{other}`; list each backend server once"
             ));
         }
     }
@@ -253,7 +253,7 @@
         let Some(digest) = value.hex::<32>() else { continue };
         if let Some(other) = digests_seen.insert(digest, value.path().to_owned()) {
             value.fault(format!(
-                "the same key stands at `{other}`; give each workspace its own"
+                "the same key is at `{other}`; give each workspace its own key"
             ));
         }
         key_digests.push(digest);
--- a/crates/reedsail_bundle/src/record.rs
+++ b/crates/reedsail_bundle/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of the bundle stream: signed proposals, and checkpoints that repeat them.
+//! The records of the bundle stream: signed proposals, and checkpoints of accepted versions.
 
 use reedsail_scheduling::Digest;
 use reedsail_scheduling::RolloutRecord;
@@ -13,25 +13,25 @@
 use crate::TrustedKeys;
 use crate::codec;
 
-/// The largest record that is read, in bytes.
+/// Maximum size of a record, in bytes.
 const RECORD_BYTES_MAX: usize = 16 << 20;
 
-/// Why a record is of no use to anybody.
+/// The reason why a record is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum RecordError {
-    /// It is not the JSON of a record.
-    #[error("the record is not readable: {0}")]
+    /// The record is not valid JSON of a record.
+    #[error("the record is unreadable: {0}")]
     Unreadable(String),
     /// The signer is not among the trusted keys of the role.
-    #[error("`{name}` is no trusted {role}; add the key to `trusted_keys` in the settings")]
+    #[error("`{name}` is not a trusted {role}; add the key to `trusted_keys` in the settings")]
     UnknownSigner {
         /// The name on the record.
         name: String,
         /// The role in which it signed.
         role: &'static str,
     },
-    /// A signature does not fit.
-    #[error("the signature of `{0}` is wrong; sign the bundle again")]
+    /// A signature is invalid.
+    #[error("the signature of `{0}` is invalid; sign the bundle again")]
     WrongSignature(String),
     /// One person signed as author and approver.
     #[error("`{0}` signed as author and as approver; another person must approve")]
@@ -39,11 +39,11 @@
     /// No approver signed.
     #[error("the bundle is not approved; run `reedsail bundle approve` with an approver's key")]
     NotApproved,
-    /// The content does not unpack.
+    /// The content cannot be decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// The content has another digest than was signed.
-    #[error("the content differs from what was signed; sign the bundle again")]
+    /// The digest of the content differs from the signed digest.
+    #[error("the content differs from the signed content; sign the bundle again")]
     WrongDigest,
 }
 
@@ -57,13 +57,13 @@
     pub signature: String,
 }
 
-/// What author and approver sign.
+/// The part of a record that author and approver sign.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedHead {
-    /// The version that is replaced; zero for the first.
+    /// The version that the record replaces; zero for the first version.
     pub base_version: u32,
-    /// The digest of the base's content, in hexadecimal; zeros for the first.
+    /// The digest of the base's content, in hexadecimal; zeros for the first version.
     pub base_digest: String,
     /// The digest of the content, in hexadecimal.
     pub digest: String,
@@ -73,19 +73,19 @@
     pub approver: Option<Signature>,
 }
 
-/// How a record carries its content.
+/// The content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordBody {
-    /// A proposal: the change from the base.
+    /// A proposal with the patch from the base.
     Patch(String),
-    /// A proposal without a base, packed whole.
+    /// A proposal without a base, with the complete compressed content.
     Whole(String),
-    /// A checkpoint of what was accepted.
+    /// A checkpoint of the accepted version.
     Checkpoint {
-        /// Every record of the log before this offset is taken into account.
+        /// The checkpoint includes every record of the log before this offset.
         as_of: u64,
-        /// The content, packed whole.
+        /// The complete compressed content.
         content: String,
     },
 }
@@ -94,9 +94,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleRecord {
-    /// Tells a record from its own second copy after a lost answer.
+    /// Identifies the record, so that a duplicate after a lost response is recognized.
     pub id: Uuid,
-    /// What was signed.
+    /// The signed part.
     pub head: SignedHead,
     /// The content.
     pub body: RecordBody,
@@ -170,10 +170,10 @@
                 role: role_name,
             })?;
         let mut bytes = [0; 64];
-        let wrong = || RecordError::WrongSignature(signature.name.clone());
-        hex::decode_to_slice(&signature.signature, &mut bytes).map_err(|_| wrong())?;
+        let invalid_signature = || RecordError::WrongSignature(signature.name.clone());
+        hex::decode_to_slice(&signature.signature, &mut bytes).map_err(|_| invalid_signature())?;
         if !key.verify(&self.message(role_name), &bytes) {
-            return Err(wrong());
+            return Err(invalid_signature());
         }
         Ok(key)
     }
@@ -188,7 +188,7 @@
 }
 
 impl BundleRecord {
-    /// Makes a proposal for publishing.
+    /// Creates a proposal.
     pub fn propose(head: SignedHead, base: Option<&str>, text: &str) -> Self {
         let body = match base {
             Some(base) => RecordBody::Patch(codec::make_patch(base, text)),
@@ -198,7 +198,7 @@
         Self { id, head, body }
     }
 
-    /// Makes a checkpoint of what was accepted.
+    /// Creates a checkpoint of the accepted version.
     pub fn checkpoint(head: SignedHead, text: &str, as_of: u64) -> Self {
         let content = codec::pack(text);
         Self {
@@ -208,26 +208,28 @@
         }
     }
 
-    /// Reads a record.
+    /// Parses a record.
     ///
     /// # Errors
-    /// Says what is not readable.
+    /// Returns `Unreadable` with the reason.
     pub fn parse(bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.len() > RECORD_BYTES_MAX {
-            return Err(RecordError::Unreadable("it is over 16 MiB".to_owned()));
+            return Err(RecordError::Unreadable(
+                "the record is larger than 16 MiB".to_owned(),
+            ));
         }
         serde_json::from_slice(bytes).map_err(|error| RecordError::Unreadable(error.to_string()))
     }
 
-    /// Writes a record.
+    /// Returns the record as JSON.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a record is always JSON")
+        serde_json::to_vec(self).expect("a record always serializes to JSON")
     }
 
-    /// Returns the content, made from `base` where the record carries a change only.
+    /// Returns the content. A patch is applied to `base`.
     ///
     /// # Errors
-    /// The content does not unpack, does not fit the base, or is not what was signed.
+    /// The content cannot be decoded, does not apply to the base, or differs from the signed content.
     pub fn content(&self, base: Option<&str>) -> Result<String, RecordError> {
         let text = match &self.body {
             RecordBody::Patch(patch) => codec::apply_patch(base.unwrap_or_default(), patch)?,
@@ -241,7 +243,7 @@
         Ok(text)
     }
 
-    /// Returns what the fold needs to know.
+    /// Returns the input for the fold of accepted versions.
     ///
     /// # Errors
     /// The record is unreadable if a digest is not hexadecimal.
--- a/crates/reedsail_bundle/tests/bundles.rs
+++ b/crates/reedsail_bundle/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Reading bundles, signing them, and following their stream.
+//! Parsing and signing bundles, and following the bundle stream.
 
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn signatures_must_be_of_two_trusted_people() {
+fn signatures_must_come_from_two_trusted_people() {
     let (author, approver) = keys();
     let text = text(1);
     let unsigned = SignedHead::sign(None, &text, "ada", &author);
     assert_eq!(unsigned.verify(&trusted()), Err(RecordError::NotApproved));
-    let mut own = unsigned.clone();
-    own.approve("ada", &author);
+    let mut self_approved = unsigned.clone();
+    self_approved.approve("ada", &author);
     assert_eq!(
-        own.verify(&trusted()),
+        self_approved.verify(&trusted()),
         Err(RecordError::SelfApproval("ada".to_owned()))
     );
     let mut same_key = unsigned.clone();
@@ -111,7 +111,7 @@
     let mut unknown = unsigned.clone();
     unknown.approve("mallory", &approver);
     let error = unknown.verify(&trusted()).unwrap_err();
-    insta::assert_snapshot!(error, @"`mallory` is no trusted approver; add the key to `trusted_keys` in the settings");
+    insta::assert_snapshot!(error, @"`mallory` is not a trusted approver; add the key to `trusted_keys` in the settings");
     let mut good = unsigned;
     good.approve("ben", &approver);
     assert_eq!(good.verify(&trusted()), Ok(()));
@@ -123,13 +123,13 @@
 }
 
 #[test]
-fn the_first_valid_successor_wins_and_a_second_copy_is_nothing() {
+fn the_first_valid_successor_wins_and_a_duplicate_is_ignored() {
     let mut follower = BundleFollower::new(trusted());
     let first = proposal(0).to_bytes();
     assert!(matches!(follower.follow(0, &first), Followed::InForce(accepted) if accepted.version == 1));
     let base = text(1);
     let winner = text(2);
-    let rival = format!("{winner}# another\n");
+    let competitor = format!("{winner}# another\n");
     let propose =
         |text: &str| BundleRecord::propose(signed(Some((1, &base)), text), Some(&base), text).to_bytes();
     assert!(
@@ -140,7 +140,7 @@
         Followed::Unchanged(FoldVerdict::AlreadyKnown)
     );
     assert_eq!(
-        follower.follow(3, &propose(&rival)),
+        follower.follow(3, &propose(&competitor)),
         Followed::Unchanged(FoldVerdict::Stale)
     );
     assert_eq!(follower.content(), Some(winner.as_str()));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_record_that_was_tampered_with_is_skipped() {
+fn a_tampered_record_is_skipped() {
     let mut follower = BundleFollower::new(trusted());
     let mut record = proposal(0);
     if let RecordBody::Whole(content) = &mut record.body {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_reader_that_comes_late_starts_from_a_checkpoint() {
+fn a_late_reader_starts_from_a_checkpoint() {
     let mut early = BundleFollower::new(trusted());
     early.follow(0, &proposal(0).to_bytes());
     early.follow(1, &proposal(1).to_bytes());
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_peers_word_never_lowers_the_version() {
+fn a_peers_checkpoint_never_lowers_the_version() {
     let mut ahead = BundleFollower::new(trusted());
     ahead.follow(0, &proposal(0).to_bytes());
     let old = ahead.checkpoint().unwrap().to_bytes();
@@ -204,18 +204,18 @@
     assert_eq!(
         fresh.next_offset(),
         2,
-        "what the peer has read need not be read again"
+        "records that the peer has read do not need to be read again"
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
-    /// No text brings the reader down, and what it accepts has what every daemon relies on.
+    /// No text makes the parser panic, and each accepted bundle has the positive weights that every instance relies on.
     #[test]
-    fn any_text_is_read_or_refused(cut in 0..GOOD.len(), byte in any::<u8>()) {
+    fn any_text_is_parsed_or_rejected(position in 0..GOOD.len(), byte in any::<u8>()) {
         let mut bytes = GOOD.as_bytes().to_vec();
-        bytes[cut] = byte;
+        bytes[position] = byte;
         if let Ok(text) = String::from_utf8(bytes) {
             match read_bundle(&text) {
                 Ok(bundle) => assert!(bundle.workspaces.values().all(|workspace| workspace.weight > 0.0)),
@@ -224,12 +224,12 @@
         }
     }
 
-    /// No record brings a follower down.
+    /// No record makes a follower panic.
     #[test]
-    fn any_record_is_followed_or_skipped(place in 0..400_usize, byte in any::<u8>()) {
+    fn any_record_is_followed_or_skipped(position in 0..400_usize, byte in any::<u8>()) {
         let mut bytes = proposal(0).to_bytes();
-        let place = place % bytes.len();
-        bytes[place] = byte;
+        let position = position % bytes.len();
+        bytes[position] = byte;
         let mut follower = BundleFollower::new(trusted());
         follower.follow(0, &bytes);
         assert_eq!(follower.next_offset(), 1);
--- a/crates/reedsail_bundle/tests/golden.rs
+++ b/crates/reedsail_bundle/tests/golden.rs
@@ -1,5 +1,4 @@
-//! The records of the bundle stream, pinned: they stay in the log for as long as it keeps them, and
-//! later releases must read them.
+//! Pins the format of the records of the bundle stream. The log retains records, so later releases must read them.
 
 use reedsail_bundle::BundleRecord;
 use reedsail_bundle::SecretKey;
@@ -24,7 +23,7 @@
     record
 }
 
-fn kept(name: &str) -> Vec<u8> {
+fn recorded_bytes(name: &str) -> Vec<u8> {
     let file = format!(
         "{}/tests/snapshots/golden__{name}.snap",
         env!("CARGO_MANIFEST_DIR")
@@ -43,30 +42,30 @@
 }
 
 #[test]
-fn a_first_proposal_keeps_its_form() {
+fn a_first_proposal_keeps_its_format() {
     let record = with_fixed_id(BundleRecord::propose(head(None, GOOD), None, GOOD));
     insta::assert_snapshot!("whole", text_of(&record));
-    let read = BundleRecord::parse(&kept("whole")).unwrap();
+    let read = BundleRecord::parse(&recorded_bytes("whole")).unwrap();
     assert_eq!(read, record);
     assert_eq!(read.content(None).unwrap(), GOOD);
 }
 
 #[test]
-fn a_change_keeps_its_form() {
+fn a_patch_keeps_its_format() {
     let next = next_text();
     let head = head(Some((1, GOOD)), &next);
     let record = with_fixed_id(BundleRecord::propose(head, Some(GOOD), &next));
     insta::assert_snapshot!("patch", text_of(&record));
-    let read = BundleRecord::parse(&kept("patch")).unwrap();
+    let read = BundleRecord::parse(&recorded_bytes("patch")).unwrap();
     assert_eq!(read, record);
     assert_eq!(read.content(Some(GOOD)).unwrap(), next);
 }
 
 #[test]
-fn a_checkpoint_keeps_its_form() {
+fn a_checkpoint_keeps_its_format() {
     let record = with_fixed_id(BundleRecord::checkpoint(head(None, GOOD), GOOD, 77));
     insta::assert_snapshot!("checkpoint", text_of(&record));
-    let read = BundleRecord::parse(&kept("checkpoint")).unwrap();
+    let read = BundleRecord::parse(&recorded_bytes("checkpoint")).unwrap();
     assert_eq!(read, record);
     assert_eq!(read.content(None).unwrap(), GOOD);
 }
--- a/crates/reedsail_document/src/file.rs
+++ b/crates/reedsail_document/src/file.rs
@@ -12,7 +12,7 @@
 /// # Errors
 /// Names the file that cannot be read, or every fault in its text.
 pub fn read_file<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, Vec<Fault>>) -> anyhow::Result<T> {
-    let displayed_path = path.display();
-    let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {displayed_path}"))?;
-    parse(&text).map_err(|faults| anyhow::anyhow!("{displayed_path}:\n{}", render_faults(&faults)))
+    let shown = path.display();
+    let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {shown}"))?;
+    parse(&text).map_err(|faults| anyhow::anyhow!("{shown}:\n{}", render_faults(&faults)))
 }
