--- a/crates/reedsail_log_client/src/client.rs
+++ b/crates/reedsail_log_client/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform over HTTP/1.1, one connection at a time for each kind of call.
+//! A client of the platform over HTTP/1.1. Each concurrent call uses a separate connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,30 +23,30 @@
 use crate::InstanceList;
 use crate::LogPage;
 
-/// The largest answer that is read, in bytes.
-const ANSWER_BYTES_MAX: usize = 64 << 20;
-/// How long connecting may take, in milliseconds.
-const CONNECT_LIMIT_MS: u64 = 500;
+/// Maximum size of a response body, in bytes.
+const RESPONSE_BYTES_MAX: usize = 64 << 20;
+/// Connect timeout, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 500;
 
-/// Why the platform gave no answer.
+/// The reason why a call to the platform failed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// It was never reached: an append has had no effect.
-    #[error("the platform at {0} cannot be reached")]
+    /// The platform was not reached; an append had no effect.
+    #[error("the platform at {0} is unreachable")]
     NotReached(SocketAddr),
-    /// It refused for now: an append has had no effect.
-    #[error("the platform refused for now with status {status}")]
+    /// The platform refused the call temporarily; an append had no effect.
+    #[error("the platform temporarily refused the call with status {status}")]
     Refused {
         /// The HTTP status.
         status: u16,
     },
-    /// The answer was lost: an append may have taken effect.
-    #[error("the platform's answer was lost: {0}")]
+    /// The response was lost; an append may have taken effect.
+    #[error("the platform's response was lost: {0}")]
     AnswerLost(String),
 }
 
 impl PlatformError {
-    /// Tells whether an append may have taken effect all the same.
+    /// Returns whether an append may have taken effect despite the error.
     pub fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::AnswerLost(_))
     }
@@ -57,19 +57,25 @@
 pub struct PlatformClient {
     address: SocketAddr,
     name: String,
-    limit_ms: u64,
+    timeout_ms: u64,
     counter: ByteCounter,
     gate: NetGate,
     idle: Mutex<Vec<HttpConnection>>,
 }
 
 impl PlatformClient {
-    /// Makes a client; `name` tells the platform, and the fault scripts, who asks.
-    pub fn new(address: SocketAddr, name: &str, limit_ms: u64, counter: ByteCounter, gate: NetGate) -> Self {
+    /// Creates a client. `name` identifies the client to the platform and to fault scripts.
+    pub fn new(
+        address: SocketAddr,
+        name: &str,
+        timeout_ms: u64,
+        counter: ByteCounter,
+        gate: NetGate,
+    ) -> Self {
         Self {
             address,
             name: name.to_owned(),
-            limit_ms,
+            timeout_ms,
             counter,
             gate,
             idle: Mutex::default(),
@@ -79,7 +85,7 @@
     /// Appends a record to a stream.
     ///
     /// # Errors
-    /// Tells whether the record may stand in the log all the same.
+    /// The error says whether the record may be in the log despite the failure.
     pub async fn append(&self, stream: &str, data: Vec<u8>) -> Result<u64, PlatformError> {
         let appended: Appended = self
             .call(Method::POST, &format!("/v1/log/{stream}"), data, 0)
@@ -90,7 +96,7 @@
     /// Reads a stream from an offset, waiting up to `wait_ms` milliseconds for a record.
     ///
     /// # Errors
-    /// The platform cannot be reached or refuses for now.
+    /// The platform is unreachable or refuses the call temporarily, or its response is lost.
     pub async fn read(&self, stream: &str, from: u64, wait_ms: u64) -> Result<LogPage, PlatformError> {
         let path = format!("/v1/log/{stream}?from={from}&wait_ms={wait_ms}");
         self.call(Method::GET, &path, Vec::new(), wait_ms).await
@@ -99,7 +105,7 @@
     /// Reads what changed in the instance list, waiting up to `wait_ms` milliseconds for a change.
     ///
     /// # Errors
-    /// The platform cannot be reached or refuses for now.
+    /// The platform is unreachable or refuses the call temporarily, or its response is lost.
     pub async fn instances(&self, since: u64, wait_ms: u64) -> Result<InstanceList, PlatformError> {
         let path = format!("/v1/instances?since={since}&wait_ms={wait_ms}");
         self.call(Method::GET, &path, Vec::new(), wait_ms).await
@@ -115,7 +121,7 @@
         if self.gate.is_cut(&self.name, "platform") {
             return Err(PlatformError::NotReached(self.address));
         }
-        let limit = Duration::from_millis(self.limit_ms + wait_ms);
+        let limit = Duration::from_millis(self.timeout_ms + wait_ms);
         let mut connection = self.connection().await?;
         let request = Request::builder()
             .method(method)
@@ -133,7 +139,7 @@
                 }
             };
             let status = response.status();
-            let body = Limited::new(response.into_body(), ANSWER_BYTES_MAX)
+            let body = Limited::new(response.into_body(), RESPONSE_BYTES_MAX)
                 .collect()
                 .await
                 .map_err(|error| PlatformError::AnswerLost(error.to_string()))?
@@ -142,7 +148,7 @@
         };
         let (status, body) = timeout(limit, exchange)
             .await
-            .map_err(|_| PlatformError::AnswerLost("it took too long".to_owned()))??;
+            .map_err(|_| PlatformError::AnswerLost("the call timed out".to_owned()))??;
         if self.gate.is_cut(&self.name, "platform") {
             return Err(PlatformError::AnswerLost("the link was cut".to_owned()));
         }
@@ -161,7 +167,7 @@
                 return Ok(connection);
             }
         }
-        HttpConnection::open(self.address, CONNECT_LIMIT_MS, self.counter.clone())
+        HttpConnection::open(self.address, CONNECT_TIMEOUT_MS, self.counter.clone())
             .await
             .map_err(|_| PlatformError::NotReached(self.address))
     }
--- a/crates/reedsail_log_client/src/lib.rs
+++ b/crates/reedsail_log_client/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's two services as a client sees them: the append-only log and the instance list.
+//! A client of the platform's two services: the append-only log and the instance list.
 //!
 //! docs/reedsaild/PROTOCOLS.md describes the protocol.
 
--- a/crates/reedsail_log_client/src/message.rs
+++ b/crates/reedsail_log_client/src/message.rs
@@ -1,4 +1,4 @@
-//! The bodies of the platform's answers.
+//! The response bodies of the platform.
 
 use std::net::SocketAddr;
 
@@ -9,79 +9,79 @@
 use serde::Serialize;
 use serde::Serializer;
 
-/// Where a record was appended.
+/// The position of an appended record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
     /// Its offset.
     pub offset: u64,
 }
 
-/// A part of a stream.
+/// A range of records of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The offset of the oldest record that is still kept.
+    /// The offset of the oldest record that the log still retains.
     pub first_offset: u64,
     /// The offset that the next append will get.
     pub next_offset: u64,
-    /// Records from the offset asked for, in order.
+    /// The records from the requested offset on, in order.
     pub records: Vec<LogRecord>,
 }
 
-/// A record.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
     /// Its offset.
     pub offset: u64,
-    /// When the log took it in, in milliseconds since the Unix epoch, by the log's clock.
+    /// When the log appended it, in milliseconds since the Unix epoch, by the log's clock.
     pub appended_unix_ms: u64,
     /// Its bytes, in Base64 on the wire.
     #[serde(serialize_with = "to_base64", deserialize_with = "from_base64")]
     pub data: Vec<u8>,
 }
 
-/// What an instance is.
+/// The kind of an entry in the instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
-    /// A daemon of the router fleet.
+    /// An instance of the router fleet.
     Daemon,
     /// A backend server.
     Server,
 }
 
-/// Whether an instance stays.
+/// The state of an entry in the instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It stays.
+    /// The entry is in service.
     Live,
-    /// It is about to go.
+    /// The entry will leave soon.
     Leaving,
-    /// It is gone.
+    /// The entry has left.
     Gone,
 }
 
-/// One row of the instance list.
+/// An entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Its name.
     pub name: String,
-    /// What it is.
+    /// Its kind.
     pub kind: InstanceKind,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Where peers, or requests, reach it.
+    /// The address for peers or requests.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Its state.
     pub state: InstanceState,
 }
 
-/// What changed in the instance list since a version; it lags behind what it describes.
+/// The changes of the instance list since a version. The list lags behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// The version to ask from next time.
+    /// The version from which to request the next changes.
     pub version: u64,
-    /// The rows that changed.
+    /// The changed entries.
     pub instances: Vec<Instance>,
 }
 
