--- a/crates/reedsail_bench/src/caller.rs
+++ b/crates/reedsail_bench/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request to one daemon and judges what comes back.
+//! A caller: sends one request to one instance and checks the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 
 use crate::setup::WorkspacePlan;
 
-/// How long a caller waits for its connection.
-const CONNECT_LIMIT_MS: u64 = 5_000;
-/// How long a caller waits for a whole answer.
-const ANSWER_LIMIT_S: u64 = 300;
+/// The timeout of a caller's connection attempt.
+const CONNECT_TIMEOUT_MS: u64 = 5_000;
+/// The timeout of a complete answer.
+const ANSWER_TIMEOUT_S: u64 = 300;
 
-/// What a caller asks for.
+/// The request that a caller sends.
 #[derive(Clone, Debug)]
 pub enum RequestPlan {
-    /// A chat.
+    /// A chat request.
     Chat {
         /// The model.
         model: String,
-        /// The prompt; no two requests have the same.
+        /// The prompt; unique to the request.
         prompt: String,
         /// Tokens to generate.
         tokens: u64,
-        /// Whether the answer is wanted as a stream.
+        /// Whether it requests a streamed answer.
         stream: bool,
         /// `interactive` or `batch`.
         class: String,
@@ -51,34 +51,34 @@
     },
 }
 
-/// What came of a request, as the caller sees it.
+/// The outcome of a request at its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer, and its own.
+    /// A complete answer to this request.
     Answered,
-    /// An answer of the closed table.
+    /// An error answer of the router.
     Failed {
         /// The error kind.
         kind: String,
         /// `not_run`, `unknown` or `ran`.
         ran: String,
     },
-    /// An answer that is not the caller's own.
+    /// An answer to another request.
     Crossed,
-    /// No whole answer.
+    /// No complete answer; holds the cause.
     Lost(String),
 }
 
-/// One request's outcome and times.
+/// The outcome and the times of one request.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// What came of it.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The id that the daemon gave the request, if it was answered.
+    /// The id that the instance assigned to the request; empty without an answer.
     pub request_id: String,
-    /// Until the first token, or the head of an answer that is no stream.
+    /// Time to the first token of a stream, or to the headers of another answer.
     pub first_ms: f64,
-    /// Until the end.
+    /// Time to the end of the request.
     pub total_ms: f64,
 }
 
@@ -92,11 +92,11 @@
             first_ms: 0.0,
             total_ms: 0.0,
         };
-        let limit = Duration::from_secs(ANSWER_LIMIT_S);
-        match timeout(limit, caller.exchange(address, workspace, plan, started)).await {
+        let answer_timeout = Duration::from_secs(ANSWER_TIMEOUT_S);
+        match timeout(answer_timeout, caller.exchange(address, workspace, plan, started)).await {
             Ok(Ok(outcome)) => caller.outcome = outcome,
             Ok(Err(error)) => caller.outcome = Outcome::Lost(error),
-            Err(_) => caller.outcome = Outcome::Lost("it took too long".to_owned()),
+            Err(_) => caller.outcome = Outcome::Lost("the answer timed out".to_owned()),
         }
         caller.total_ms = started.elapsed().as_secs_f64() * 1_000.0;
         caller
@@ -109,7 +109,7 @@
         plan: &RequestPlan,
         started: Instant,
     ) -> Result<Outcome, String> {
-        let mut connection = HttpConnection::open(address, CONNECT_LIMIT_MS, ByteCounter::default())
+        let mut connection = HttpConnection::open(address, CONNECT_TIMEOUT_MS, ByteCounter::default())
             .await
             .map_err(|error| error.to_string())?;
         connection.ready().await;
@@ -164,10 +164,10 @@
             }
         }
         let mut content = String::new();
-        let mut done = false;
+        let mut is_done = false;
         for line in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
             if line == "[DONE]" {
-                done = true;
+                is_done = true;
                 continue;
             }
             let event: Value = serde_json::from_str(line).map_err(|error| error.to_string())?;
@@ -177,10 +177,10 @@
                     .unwrap_or_default(),
             );
         }
-        if !done {
-            return Err("the stream has no end".to_owned());
+        if !is_done {
+            return Err("the stream ended without `[DONE]`".to_owned());
         }
-        Ok(judge_content(&content, prompt, tokens))
+        Ok(check_content(&content, prompt, tokens))
     }
 }
 
@@ -197,14 +197,18 @@
     let content = answer["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or_default();
-    Ok(judge_content(content, prompt, tokens))
+    Ok(check_content(content, prompt, tokens))
 }
 
 async fn read_plain(response: Response<Incoming>, call: &str, request_id: &str) -> Result<Outcome, String> {
     let body = read_body(response).await?;
     let answer: Value = serde_json::from_slice(&body).map_err(|error| error.to_string())?;
-    let own = answer["call"] == call && answer["request_id"] == request_id;
-    Ok(if own { Outcome::Answered } else { Outcome::Crossed })
+    let is_own = answer["call"] == call && answer["request_id"] == request_id;
+    Ok(if is_own {
+        Outcome::Answered
+    } else {
+        Outcome::Crossed
+    })
 }
 
 async fn read_body(response: Response<Incoming>) -> Result<Bytes, String> {
@@ -212,14 +216,14 @@
     Ok(collected.map_err(|error| error.to_string())?.to_bytes())
 }
 
-/// Compares an answer to the one that this prompt must have.
-fn judge_content(content: &str, prompt: &str, tokens: u64) -> Outcome {
+/// Compares the content of an answer with the expected content for this prompt.
+fn check_content(content: &str, prompt: &str, tokens: u64) -> Outcome {
     let expected: String = (0..tokens).map(|index| token_text(prompt, index)).collect();
     if content == expected {
         return Outcome::Answered;
     }
     if expected.starts_with(content) {
-        return Outcome::Lost(format!("{} of {} bytes came", content.len(), expected.len()));
+        return Outcome::Lost(format!("received {} of {} bytes", content.len(), expected.len()));
     }
     Outcome::Crossed
 }
--- a/crates/reedsail_bench/src/checker.rs
+++ b/crates/reedsail_bench/src/checker.rs
@@ -1,7 +1,7 @@
-//! Proves the promises of the brief from what was recorded, one by one.
+//! Checks each promise of the router against the records of a replay.
 //!
-//! Nothing here asks the daemons for their opinion: it compares what callers saw with what the
-//! backend servers recorded, and reads the time line.
+//! The checks don't depend on the state of the instances. They compare the outcomes at the callers
+//! with the records of the backend servers, and read the timeline.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -17,57 +17,57 @@
 use crate::Outcome;
 use crate::Sample;
 
-/// A backlogged workspace that got nothing for so long is starved.
+/// A backlogged workspace without service for longer than this is starved.
 const STARVED_AFTER_MS: f64 = 5_000.0;
-/// A leaving backend server gets no new work later than this after the list shows it.
+/// A leaving backend server gets no new request later than this after the list shows it as leaving.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// One promise, whether it held, and what shows it.
+/// The result of checking one promise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromiseCheck {
-    /// The promise, in short.
+    /// The promise in one sentence.
     pub promise: String,
     /// Whether it held.
     pub holds: bool,
-    /// What was counted.
+    /// The measured values.
     pub evidence: String,
 }
 
-/// One request as its caller saw it.
+/// The result of one request at its caller.
 #[derive(Clone, Debug)]
 pub struct CallerRecord {
-    /// The id that the daemon gave it.
+    /// The id that the instance assigned to it.
     pub request_id: String,
-    /// What came of it.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Whether the faults excuse that.
+    /// Whether the fault script excuses the outcome.
     pub excused: bool,
 }
 
-/// Everything that was recorded.
+/// The records of a replay.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayRecord {
-    /// What callers saw.
+    /// The results at the callers.
     pub callers: Vec<CallerRecord>,
-    /// What ran on plain backend servers.
+    /// The calls that ran on plain backend servers.
     pub plain_runs: Vec<PlainRun>,
-    /// How often each request id arrived at any engine.
+    /// The number of times that each request id arrived at an engine.
     pub engine_requests: HashMap<String, u64>,
-    /// The merged time line.
+    /// The merged timeline.
     pub events: Vec<Event>,
-    /// Leaving backend servers, and when the list showed them.
+    /// Leaving backend servers, with the Unix time in milliseconds at which the list shows it.
     pub leaving: Vec<(String, u64)>,
-    /// Looks at the model service.
+    /// Samples of the model service.
     pub samples: Vec<Sample>,
     /// The fairness figures.
     pub fairness: FairnessFigures,
-    /// The most that the gap may be, in seconds; absent for policies that promise nothing.
+    /// The maximum fairness gap in seconds; `None` for policies without a fairness promise.
     pub gap_bound_s: Option<f64>,
-    /// How long bundles took to be in force everywhere.
+    /// For each bundle, the time from its publication until all instances had it in force.
     pub in_force_ms: Vec<u64>,
-    /// The most that this may take.
+    /// The maximum of `in_force_ms`.
     pub in_force_bound_ms: u64,
-    /// Whether the planned stop cut nothing.
+    /// Whether the planned stop cut off no request.
     pub stop_cut_nothing: bool,
 }
 
@@ -85,7 +85,7 @@
     checks.push(PromiseCheck {
         promise: "a planned stop cuts no request in flight".to_owned(),
         holds: record.stop_cut_nothing,
-        evidence: "every daemon was stopped as planned at the end".to_owned(),
+        evidence: "every instance got a planned stop at the end".to_owned(),
     });
     checks.push(check_bundles(record));
     checks
@@ -101,31 +101,31 @@
 }
 
 fn check_starvation(record: &ReplayRecord) -> PromiseCheck {
-    let mut longest: (f64, String) = (0.0, String::new());
-    let mut since: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+    let mut longest_wait: (f64, String) = (0.0, String::new());
+    let mut last_service: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
     for sample in &record.samples {
         for (workspace, queued) in &sample.queued {
             let tokens = sample.tokens_of(workspace);
             if *queued == 0 {
-                since.remove(workspace.as_str());
+                last_service.remove(workspace.as_str());
                 continue;
             }
-            let entry = since.entry(workspace).or_insert((sample.at_ms, tokens));
+            let entry = last_service.entry(workspace).or_insert((sample.at_ms, tokens));
             if tokens > entry.1 {
                 *entry = (sample.at_ms, tokens);
             }
             let waited_ms = sample.at_ms - entry.0;
-            if waited_ms > longest.0 {
-                longest = (waited_ms, workspace.clone());
+            if waited_ms > longest_wait.0 {
+                longest_wait = (waited_ms, workspace.clone());
             }
         }
     }
     PromiseCheck {
         promise: "no workspace starves".to_owned(),
-        holds: longest.0 <= STARVED_AFTER_MS,
+        holds: longest_wait.0 <= STARVED_AFTER_MS,
         evidence: format!(
-            "longest without service while backlogged: {:.0} ms ({})",
-            longest.0, longest.1
+            "longest time without service while backlogged: {:.0} ms ({})",
+            longest_wait.0, longest_wait.1
         ),
     }
 }
@@ -135,57 +135,58 @@
     let lost = count(record, |caller| {
         matches!(caller.outcome, Outcome::Lost(_)) && !caller.excused
     });
-    let whole = count(record, |caller| caller.outcome == Outcome::Answered);
+    let complete = count(record, |caller| caller.outcome == Outcome::Answered);
     PromiseCheck {
         promise: "each caller gets the whole answer to its own request".to_owned(),
         holds: crossed == 0 && lost == 0,
-        evidence: format!("{whole} whole, {crossed} crossed, {lost} lost"),
+        evidence: format!("{complete} complete, {crossed} crossed, {lost} lost"),
     }
 }
 
-/// Returns the refusals as "not run" whose request a backend server recorded.
-pub(crate) fn false_not_run(record: &ReplayRecord) -> u64 {
-    let ran: HashSet<&str> = record
+/// Returns the number of requests rejected as "not run" that a backend server recorded.
+pub(crate) fn count_false_not_run(record: &ReplayRecord) -> u64 {
+    let ran_ids: HashSet<&str> = record
         .plain_runs
         .iter()
         .map(|run| run.request_id.as_str())
         .chain(record.engine_requests.keys().map(String::as_str))
         .collect();
     count(record, |caller| {
-        let refused = matches!(&caller.outcome, Outcome::Failed { ran, .. } if ran == "not_run");
-        refused && ran.contains(caller.request_id.as_str())
+        let is_rejected = matches!(&caller.outcome, Outcome::Failed { ran, .. } if ran == "not_run");
+        is_rejected && ran_ids.contains(caller.request_id.as_str())
     })
 }
 
 fn check_not_run(record: &ReplayRecord) -> PromiseCheck {
-    let refused = count(
+    let rejected = count(
         record,
         |caller| matches!(&caller.outcome, Outcome::Failed { ran, .. } if ran == "not_run"),
     );
-    let wrong = false_not_run(record);
+    let false_total = count_false_not_run(record);
     PromiseCheck {
         promise: "what is refused as not run did not run".to_owned(),
-        holds: wrong == 0,
-        evidence: format!("{refused} refused, {wrong} of them on a backend server's record"),
+        holds: false_total == 0,
+        evidence: format!("{rejected} rejected, {false_total} of them recorded by a backend server"),
     }
 }
 
-/// Returns how many keys, and requests without one that may not be repeated, ran more than once.
-pub(crate) fn doubled(record: &ReplayRecord) -> u64 {
+/// Returns the number of non-idempotent calls that ran more than once. A call is identified by its
+/// idempotency key, or by its request id if it has none.
+pub(crate) fn count_repeated_runs(record: &ReplayRecord) -> u64 {
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for run in record
         .plain_runs
         .iter()
         .filter(|run| run.call.starts_with("POST "))
     {
-        let name = if run.idempotency_key.is_empty() {
+        let id = if run.idempotency_key.is_empty() {
             run.request_id.as_str()
         } else {
             run.idempotency_key.as_str()
         };
-        *runs.entry(name).or_default() += 1;
+        *runs.entry(id).or_default() += 1;
     }
-    runs.values().filter(|times| **times > 1).count() as u64
+    runs.values().filter(|run_count| **run_count > 1).count() as u64
 }
 
 fn check_at_most_once(record: &ReplayRecord) -> PromiseCheck {
@@ -193,11 +194,11 @@
         .plain_runs
         .iter()
         .filter(|run| !run.idempotency_key.is_empty());
-    let twice = doubled(record);
+    let repeated = count_repeated_runs(record);
     PromiseCheck {
         promise: "what may not be repeated runs at most once".to_owned(),
-        holds: twice == 0,
-        evidence: format!("{} keyed calls ran, {twice} twice", keyed.count()),
+        holds: repeated == 0,
+        evidence: format!("{} keyed calls ran, {repeated} more than once", keyed.count()),
     }
 }
 
@@ -219,7 +220,7 @@
         promise: "a leaving backend server gets no new work after a few seconds".to_owned(),
         holds: late == 0,
         evidence: format!(
-            "{} servers left, last new work {latest_ms} ms after, {late} requests too late",
+            "{} servers left, last new request after {latest_ms} ms, {late} requests too late",
             record.leaving.len()
         ),
     }
@@ -228,7 +229,7 @@
 fn check_bundles(record: &ReplayRecord) -> PromiseCheck {
     let mut last: HashMap<&str, u32> = HashMap::new();
     let mut reverted = 0;
-    // Within one instance the wall clock tells its starts apart; the logical one begins anew.
+    // Sorts by wall clock first, because the logical clock restarts with each start of an instance.
     let mut events: Vec<&Event> = record.events.iter().collect();
     events.sort_by_key(|event| (event.unix_ms, event.clock));
     for event in events {
@@ -243,8 +244,8 @@
             .get("version")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        let before = last.insert(&event.instance, version).unwrap_or(0);
-        reverted += u64::from(version <= before);
+        let previous = last.insert(&event.instance, version).unwrap_or(0);
+        reverted += u64::from(version <= previous);
     }
     let slowest_ms = record.in_force_ms.iter().copied().max().unwrap_or(0);
     PromiseCheck {
@@ -257,6 +258,6 @@
     }
 }
 
-fn count(record: &ReplayRecord, fits: impl Fn(&CallerRecord) -> bool) -> u64 {
-    record.callers.iter().filter(|caller| fits(caller)).count() as u64
+fn count(record: &ReplayRecord, predicate: impl Fn(&CallerRecord) -> bool) -> u64 {
+    record.callers.iter().filter(|caller| predicate(caller)).count() as u64
 }
--- a/crates/reedsail_bench/src/compare.rs
+++ b/crates/reedsail_bench/src/compare.rs
@@ -1,4 +1,4 @@
-//! Replays one trace under every policy, one after the other in one run.
+//! Replays one trace under every policy, one after the other.
 
 use reedsail_daemon::PolicyChoice;
 
@@ -10,7 +10,7 @@
 /// Replays a trace under `fifo`, `split` and `fleet`.
 ///
 /// # Errors
-/// A fleet cannot be started, or a line names what does not exist.
+/// A fleet cannot be started, or a line of the trace names an unknown instance or workspace.
 pub async fn compare_policies(
     trace: &Trace,
     progress: impl Fn(&str),
--- a/crates/reedsail_bench/src/fairness.rs
+++ b/crates/reedsail_bench/src/fairness.rs
@@ -1,4 +1,4 @@
-//! The fairness gap and the utilisation, from samples of a run.
+//! Computes the fairness gap and the utilisation from the samples of a replay.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,28 +6,29 @@
 use crate::FleetSetup;
 use crate::Sample;
 
-/// A joint backlog shorter than this says nothing about fairness.
+/// A joint backlog shorter than this is too short to measure fairness.
 const JOINT_BACKLOG_MIN_MS: f64 = 1_000.0;
 
-/// What the samples say.
+/// Fairness and utilisation, computed from samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FairnessFigures {
-    /// Over all pairs of workspaces backlogged throughout an interval, the largest difference of
-    /// service by weight within it, in seconds of a fair part.
+    /// The largest difference in weighted service between two workspaces, over all pairs and all
+    /// intervals in which both are backlogged throughout. In seconds of service at the fair rate.
     pub gap_s: f64,
-    /// The same over the first half of the time in which at least two were backlogged.
+    /// The same gap, over the first half of the time in which at least two workspaces were backlogged.
     pub gap_first_half_s: f64,
-    /// The same over the second half.
+    /// The same gap, over the second half.
     pub gap_second_half_s: f64,
-    /// Busy slot time by slot time while work waited anywhere.
+    /// Busy slot time divided by available slot time, while any request was queued.
     pub utilisation_ratio: f64,
-    /// For how long at least two workspaces were backlogged, in seconds.
+    /// The time from the first to the last sample with at least two backlogged workspaces, in seconds.
     pub backlog_s: f64,
-    /// The fair-part time of the largest request: its tokens by the fair rate of weight one.
+    /// The time that the largest request takes at the fair rate: its tokens divided by the fair rate of
+    /// weight one.
     pub largest_request_s: f64,
 }
 
-/// Measures one model service. `capacity_per_s` is what its engines generate a second at most.
+/// Measures one model service. `capacity_per_s` is the maximum token rate of its engines.
 pub fn measure_fairness(
     setup: &FleetSetup,
     samples: &[Sample],
@@ -45,16 +46,16 @@
     let middle = f64::midpoint(first, last);
     let weights = mean_backlogged_weight(setup, samples);
     let fair_per_s = capacity_per_s / weights.max(1e-9);
-    let part = |from: f64, to: f64| -> Vec<&Sample> {
+    let samples_between = |from: f64, to: f64| -> Vec<&Sample> {
         samples
             .iter()
             .filter(|sample| sample.at_ms >= from && sample.at_ms <= to)
             .collect()
     };
     FairnessFigures {
-        gap_s: largest_gap(setup, &part(first, last)) / fair_per_s,
-        gap_first_half_s: largest_gap(setup, &part(first, middle)) / fair_per_s,
-        gap_second_half_s: largest_gap(setup, &part(middle, last)) / fair_per_s,
+        gap_s: largest_gap(setup, &samples_between(first, last)) / fair_per_s,
+        gap_first_half_s: largest_gap(setup, &samples_between(first, middle)) / fair_per_s,
+        gap_second_half_s: largest_gap(setup, &samples_between(middle, last)) / fair_per_s,
         utilisation_ratio: utilisation(samples),
         backlog_s: (last - first) / 1_000.0,
         largest_request_s: largest_request_tokens as f64 / fair_per_s,
@@ -91,8 +92,8 @@
     largest
 }
 
-/// Walks the intervals in which both are backlogged; within one, the gap over any part of it is
-/// the range of the difference of their services.
+/// Returns the largest gap between two workspaces over all intervals in which both are backlogged.
+/// The gap within an interval is the range of the difference in weighted service.
 fn pair_gap(setup: &FleetSetup, samples: &[&Sample], one: &str, other: &str) -> f64 {
     let (weight_one, weight_other) = (setup.weight_of(one), setup.weight_of(other));
     let mut largest: f64 = 0.0;
@@ -115,15 +116,16 @@
     largest
 }
 
-/// Returns busy slot time by slot time, over the steps at both ends of which work waited.
+/// Returns busy slot time divided by available slot time. Counts only the steps between two samples
+/// that both have queued requests.
 fn utilisation(samples: &[Sample]) -> f64 {
     let mut busy = 0.0;
-    let mut offered = 0.0;
+    let mut available = 0.0;
     for pair in samples.windows(2) {
-        if pair[0].any_waits() && pair[1].any_waits() {
+        if pair[0].has_queued_requests() && pair[1].has_queued_requests() {
             busy += pair[1].busy_slot_ms - pair[0].busy_slot_ms;
-            offered += (pair[1].at_ms - pair[0].at_ms) * f64::from(pair[1].slots);
+            available += (pair[1].at_ms - pair[0].at_ms) * f64::from(pair[1].slots);
         }
     }
-    if offered > 0.0 { busy / offered } else { 1.0 }
+    if available > 0.0 { busy / available } else { 1.0 }
 }
--- a/crates/reedsail_bench/src/faults.rs
+++ b/crates/reedsail_bench/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault scripts: what goes wrong beside a trace, when, and which outcomes that excuses.
+//! Fault scripts: the faults injected during a replay, their times, and the outcomes that they excuse.
 
 use std::sync::atomic::Ordering;
 
@@ -11,70 +11,70 @@
 use crate::Fleet;
 use crate::Outcome;
 
-/// One thing that goes wrong, or right again.
+/// The start or the end of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// Two parties or failure domains cannot reach each other.
+    /// Cuts the network between two parties or failure domains.
     Cut(String, String),
-    /// They can again.
+    /// Restores the network between them.
     Mend(String, String),
-    /// A daemon ends without warning.
+    /// Kills an instance without warning.
     KillDaemon(String),
-    /// A daemon starts with no state.
+    /// Starts an instance without state.
     StartDaemon(String),
-    /// A daemon's control thread stands still, or goes on.
+    /// Freezes the control thread of an instance (`true`), or resumes it.
     FreezeDaemon(String, bool),
-    /// The platform refuses every call, or none.
+    /// Makes the platform reject every call (`true`), or none.
     PlatformOutage(bool),
-    /// The platform's calls take so much longer.
+    /// Delays each call to the platform by this many milliseconds.
     PlatformDelay(u64),
-    /// So large a part of appends take effect and lose their answer.
+    /// Drops the answers of this ratio of appends; the appends take effect.
     LoseAppendAnswers(f64),
-    /// The instance list stands still, or goes on.
+    /// Freezes the instance list (`true`), or resumes its updates.
     FreezeList(bool),
-    /// Every record of the log ages out.
+    /// Expires every record of the log.
     AgeOutLog,
-    /// A backend server's connections all break.
+    /// Breaks all connections of a backend server.
     CrashServer(String),
-    /// An engine breaks streams off after so many tokens; zero for never.
+    /// Makes an engine cut streams after this many tokens; zero disables it.
     CutStreams(String, u64),
-    /// A plain backend server runs so many calls without answering.
+    /// Makes a plain backend server run this many calls without an answer.
     LoseAnswers(String, u64),
-    /// A plain backend server answers so many calls with another's id.
+    /// Makes a plain backend server answer this many calls with the id of another call.
     CrossAnswers(String, u64),
-    /// A plain backend server sends so many bodies short.
+    /// Makes a plain backend server truncate this many bodies.
     ShortAnswers(String, u64),
-    /// Two operators publish rivals on the version in force.
+    /// Makes two operators publish conflicting successors of the version in force.
     PublishRivals,
 }
 
-/// Outcomes that the faults excuse, for requests sent within a span of time.
+/// An outcome that the faults excuse, for requests sent within a time span.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Excuse {
-    /// An error kind, or `lost` for a connection that broke.
+    /// An error kind, or `lost` for a broken connection.
     pub outcome: String,
-    /// Only callers of this daemon; of any if absent.
+    /// The instance whose callers are excused; `None` for all instances.
     pub daemon: Option<String>,
-    /// From when on.
+    /// Start of the time span.
     pub from_ms: u64,
-    /// Until when.
+    /// End of the time span, inclusive.
     pub to_ms: u64,
 }
 
 /// A fault script.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultScript {
-    /// What happens, in the order of time.
+    /// The actions with their times in milliseconds, sorted by time.
     pub actions: Vec<(u64, FaultAction)>,
-    /// What is excused.
+    /// The excused outcomes.
     pub excuses: Vec<Excuse>,
 }
 
 impl FaultScript {
-    /// Reads a script.
+    /// Parses a fault script.
     ///
     /// # Errors
-    /// Every fault of the document.
+    /// Returns every fault of the document.
     pub fn read(text: &str) -> Result<Self, Vec<Fault>> {
         read_document(text, |top| {
             let mut actions = Vec::new();
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Joins two scripts that strike at the same time.
+    /// Merges two scripts that run at the same time.
     #[must_use]
     pub fn join(mut self, other: Self) -> Self {
         self.actions.extend(other.actions);
@@ -116,7 +116,7 @@
         self
     }
 
-    /// Tells whether the faults excuse an outcome.
+    /// Returns whether the faults excuse an outcome.
     pub fn excuses(&self, outcome: &Outcome, daemon: &str, sent_ms: u64) -> bool {
         let name = match outcome {
             Outcome::Failed { kind, .. } => kind.as_str(),
@@ -125,7 +125,7 @@
         };
         self.excuses.iter().any(|excuse| {
             excuse.outcome == name
-                && excuse.daemon.as_deref().is_none_or(|named| named == daemon)
+                && excuse.daemon.as_deref().is_none_or(|excused| excused == daemon)
                 && (excuse.from_ms..=excuse.to_ms).contains(&sent_ms)
         })
     }
@@ -188,7 +188,9 @@
         "short_answers" => FaultAction::ShortAnswers(name(mapping, "server")?, count(mapping, "times")?),
         "publish_rivals" => FaultAction::PublishRivals,
         other => {
-            kind.fault(format!("`{other}` is no fault; docs/FAULTS.md lists them"));
+            kind.fault(format!(
+                "unknown fault `{other}`; see docs/FAULTS.md for the known ones"
+            ));
             return None;
         }
     })
@@ -205,11 +207,11 @@
 }
 
 impl FaultAction {
-    /// Carries the action out.
+    /// Applies the action to the fleet.
     ///
     /// # Errors
-    /// Names the daemon or backend server that does not exist.
-    pub async fn strike(&self, fleet: &mut Fleet) -> anyhow::Result<()> {
+    /// The instance or backend server is unknown, or the action fails.
+    pub async fn apply(&self, fleet: &mut Fleet) -> anyhow::Result<()> {
         match self {
             Self::Cut(one, other) => fleet.gate.cut(one, other),
             Self::Mend(one, other) => fleet.gate.heal(one, other),
@@ -227,23 +229,23 @@
             Self::AgeOutLog => fleet.platform.age_out(),
             Self::CrashServer(server) => match fleet.engines.get(server) {
                 Some(engine) => engine.crash(),
-                None => plain(fleet, server)?.crash(),
+                None => find_plain_server(fleet, server)?.crash(),
             },
             Self::CutStreams(server, tokens) => {
                 let engine = fleet
                     .engines
                     .get(server)
-                    .with_context(|| format!("no engine {server}"))?;
+                    .with_context(|| format!("unknown engine `{server}`; check the fault script"))?;
                 engine.faults().cut_after_tokens.store(*tokens, Ordering::Relaxed);
             }
             Self::LoseAnswers(server, times) => {
-                plain(fleet, server)?.set_faults(|faults| faults.answers_lost = *times as u32);
+                find_plain_server(fleet, server)?.set_faults(|faults| faults.answers_lost = *times as u32);
             }
             Self::CrossAnswers(server, times) => {
-                plain(fleet, server)?.set_faults(|faults| faults.answers_crossed = *times as u32);
+                find_plain_server(fleet, server)?.set_faults(|faults| faults.answers_crossed = *times as u32);
             }
             Self::ShortAnswers(server, times) => {
-                plain(fleet, server)?.set_faults(|faults| faults.answers_short = *times as u32);
+                find_plain_server(fleet, server)?.set_faults(|faults| faults.answers_short = *times as u32);
             }
             Self::PublishRivals => fleet.publish_rivals().await?,
         }
@@ -251,9 +253,12 @@
     }
 }
 
-fn plain<'a>(fleet: &'a Fleet, server: &str) -> anyhow::Result<&'a reedsail_standin::PlainStandin> {
+fn find_plain_server<'a>(
+    fleet: &'a Fleet,
+    server: &str,
+) -> anyhow::Result<&'a reedsail_standin::PlainStandin> {
     fleet
         .plains
         .get(server)
-        .with_context(|| format!("no backend server {server}"))
+        .with_context(|| format!("unknown plain backend server `{server}`; check the fault script"))
 }
--- a/crates/reedsail_bench/src/fleet.rs
+++ b/crates/reedsail_bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts the stand-ins and the daemons of a setup, all inside this process.
+//! Starts the stand-ins and the instances of a setup in this process.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -39,43 +39,43 @@
 
 use crate::FleetSetup;
 use crate::setup::BundleChangePlan;
-use crate::setup::ServerPlace;
+use crate::setup::ServerAddress;
 
-/// How long a fleet may take to be ready.
-const READY_LIMIT_MS: u64 = 20_000;
-/// How often an append is tried.
-const APPEND_TRIES_MAX: usize = 100;
-/// The pause between two tries.
-const APPEND_PAUSE_MS: u64 = 100;
-/// The stream of bundle records.
+/// The timeout for all instances to be ready.
+const READY_TIMEOUT_MS: u64 = 20_000;
+/// The maximum number of attempts to append a record.
+const APPEND_ATTEMPTS_MAX: usize = 100;
+/// The delay between two attempts.
+const APPEND_RETRY_DELAY_MS: u64 = 100;
+/// The log stream of bundle records.
 const BUNDLE_STREAM: &str = "bundles";
 
-/// A running fleet with its surroundings.
+/// A running fleet with its platform and backend servers.
 #[derive(Debug)]
 pub struct Fleet {
-    /// What it consists of; changes with each bundle published.
+    /// The setup; each published change updates it.
     pub setup: FleetSetup,
-    /// Cuts between its parties.
+    /// Cuts network connections between parties.
     pub gate: NetGate,
     /// The platform.
     pub platform: PlatformStandin,
-    /// The engines by name.
+    /// The engines, by name.
     pub engines: BTreeMap<String, EngineStandin>,
-    /// The plain backend servers by name.
+    /// The plain backend servers, by name.
     pub plains: BTreeMap<String, PlainStandin>,
-    /// The daemons by name; one that was killed is absent.
+    /// The running instances, by name.
     pub daemons: BTreeMap<String, RunningDaemon>,
-    /// Callers' addresses by daemon, kept when one is killed.
+    /// The listen address for callers, by instance; kept after an instance is killed.
     pub callers: HashMap<String, SocketAddr>,
-    /// Events of daemons that have ended.
+    /// Events of killed instances.
     pub past_events: Vec<reedsail_events::Event>,
-    servers: BTreeMap<String, Vec<ServerPlace>>,
+    servers: BTreeMap<String, Vec<ServerAddress>>,
     settings: BTreeMap<String, Settings>,
-    text: String,
+    published_text: String,
     version: u32,
 }
 
-/// The keys with which the bench signs; they guard nothing.
+/// Returns the fixed signing keys of author and approver. They protect nothing.
 fn bench_keys() -> (SecretKey, SecretKey) {
     (SecretKey::from_bytes([1; 32]), SecretKey::from_bytes([2; 32]))
 }
@@ -96,25 +96,26 @@
     ])
 }
 
-/// Appends a record, again and again until the log says that it has it; a second copy folds to
-/// nothing.
-async fn append_until_taken(client: &PlatformClient, record: &BundleRecord) -> anyhow::Result<()> {
-    let mut last = None;
-    for _ in 0..APPEND_TRIES_MAX {
+/// Appends a record and retries until the log acknowledges it. A duplicate record has no effect.
+async fn append_with_retries(client: &PlatformClient, record: &BundleRecord) -> anyhow::Result<()> {
+    let mut last_error = None;
+    for _ in 0..APPEND_ATTEMPTS_MAX {
         match client.append(BUNDLE_STREAM, record.to_bytes()).await {
             Ok(_) => return Ok(()),
-            Err(error) => last = Some(error),
+            Err(error) => last_error = Some(error),
         }
-        sleep(Duration::from_millis(APPEND_PAUSE_MS)).await;
+        sleep(Duration::from_millis(APPEND_RETRY_DELAY_MS)).await;
     }
-    Err(last.map_or_else(|| anyhow::anyhow!("nothing was tried"), Into::into))
+    Err(last_error.map_or_else(|| anyhow::anyhow!("no append was attempted"), Into::into))
 }
 
 impl Fleet {
-    /// Starts everything, publishes the first bundle and waits until all daemons are ready.
+    /// Starts the stand-ins and the instances, publishes the first bundle and waits until all instances
+    /// are ready.
     ///
     /// # Errors
-    /// Names what could not be started.
+    /// A stand-in or an instance cannot be started, the bundle cannot be published, or an instance is
+    /// not ready within the timeout.
     pub async fn start(
         setup: FleetSetup,
         policy: PolicyChoice,
@@ -132,7 +133,7 @@
     async fn prepare(setup: FleetSetup, platform: PlatformConfig) -> anyhow::Result<Self> {
         let platform = PlatformStandin::start(platform)
             .await
-            .context("cannot start the platform")?;
+            .context("cannot start the platform stand-in")?;
         Ok(Self {
             gate: NetGate::default(),
             platform,
@@ -143,7 +144,7 @@
             past_events: Vec::new(),
             servers: BTreeMap::new(),
             settings: BTreeMap::new(),
-            text: String::new(),
+            published_text: String::new(),
             version: 0,
             setup,
         })
@@ -151,7 +152,7 @@
 
     async fn start_servers(&mut self) -> anyhow::Result<()> {
         for service in self.setup.services.clone() {
-            let mut places = Vec::new();
+            let mut addresses = Vec::new();
             for (domain, count) in &service.servers_by_domain {
                 for number in 1..=*count {
                     let name = format!("{}-{domain}-{number}", service.name);
@@ -173,10 +174,10 @@
                     };
                     self.gate.assign(&name, domain);
                     self.set_instance(&name, InstanceKind::Server, domain, address, InstanceState::Live);
-                    places.push((name, domain.clone(), address));
+                    addresses.push((name, domain.clone(), address));
                 }
             }
-            self.servers.insert(service.name.clone(), places);
+            self.servers.insert(service.name.clone(), addresses);
         }
         Ok(())
     }
@@ -186,15 +187,15 @@
         policy: PolicyChoice,
         tune: &impl Fn(&mut Settings),
     ) -> anyhow::Result<()> {
-        let free = SocketAddr::from(([127, 0, 0, 1], 0));
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         for daemon in self.setup.daemons.clone() {
             let mut settings = Settings {
                 instance: daemon.instance.clone(),
                 failure_domain: daemon.failure_domain.clone(),
                 listen: ListenSettings {
-                    callers: free,
-                    peers: free,
-                    admin: free,
+                    callers: any_port,
+                    peers: any_port,
+                    admin: any_port,
                 },
                 platform: self.platform.address(),
                 trusted_keys: trusted_keys(),
@@ -221,12 +222,16 @@
         Ok(())
     }
 
-    /// Starts a daemon that does not run, on new ports and without any memory.
+    /// Starts a stopped instance on new ports and without state.
     ///
     /// # Errors
-    /// The daemon is unknown or cannot be started.
+    /// The instance is unknown or cannot be started.
     pub async fn start_daemon(&mut self, instance: &str) -> anyhow::Result<()> {
-        let mut settings = self.settings.get(instance).context("no such daemon")?.clone();
+        let mut settings = self
+            .settings
+            .get(instance)
+            .context("unknown instance; check the fleet's setup")?
+            .clone();
         let running = self.daemons.values();
         settings.peers = running
             .map(|daemon| PeerSeed {
@@ -254,7 +259,7 @@
         Ok(())
     }
 
-    /// Ends a daemon at once, as a crash would. The platform's list goes on naming it.
+    /// Kills an instance, as a crash does. The platform's instance list still contains it.
     pub fn kill_daemon(&mut self, instance: &str) {
         if let Some(daemon) = self.daemons.remove(instance) {
             self.past_events.extend(daemon.events());
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Changes a row of the platform's instance list.
+    /// Adds or replaces a row of the platform's instance list.
     pub fn set_instance(
         &self,
         name: &str,
@@ -280,10 +285,10 @@
         });
     }
 
-    /// Marks a backend server as leaving in the platform's list.
+    /// Marks a backend server as leaving in the platform's instance list.
     pub fn set_leaving(&self, server: &str) {
-        let places = self.servers.values().flatten();
-        for (name, domain, address) in places.filter(|(name, _, _)| name == server) {
+        let addresses = self.servers.values().flatten();
+        for (name, domain, address) in addresses.filter(|(name, _, _)| name == server) {
             self.set_instance(
                 name,
                 InstanceKind::Server,
@@ -294,7 +299,7 @@
         }
     }
 
-    /// Returns a client of the platform, as an operator's tool has one.
+    /// Returns a platform client with the identity of an operator.
     pub fn platform_client(&self) -> PlatformClient {
         PlatformClient::new(
             self.platform.address(),
@@ -305,51 +310,51 @@
         )
     }
 
-    /// Returns the version last published from here.
+    /// Returns the last version that this fleet published.
     pub fn version(&self) -> u32 {
         self.version
     }
 
-    /// Returns the text of the version last published from here.
+    /// Returns the text of the last version that this fleet published.
     pub fn bundle_text(&self) -> &str {
-        &self.text
+        &self.published_text
     }
 
-    /// Makes the signed proposal that turns the version last published into `text`.
+    /// Returns the signed proposal of `text` as the successor of the last published version.
     pub fn propose(&self, text: &str) -> BundleRecord {
         let (author, approver) = bench_keys();
-        let base = (self.version > 0).then_some((self.version, self.text.as_str()));
+        let base = (self.version > 0).then_some((self.version, self.published_text.as_str()));
         let mut head = SignedHead::sign(base, text, "bench-author", &author);
         head.approve("bench-approver", &approver);
         BundleRecord::propose(head, base.map(|(_, text)| text), text)
     }
 
-    /// Publishes a change as the next version; returns once the log has it.
+    /// Publishes a change as the next version. Returns after the log acknowledges it.
     ///
     /// # Errors
-    /// The log does not take the record.
+    /// The workspace is unknown, or the log does not acknowledge the record.
     pub async fn publish_change(&mut self, change: &BundleChangePlan) -> anyhow::Result<u32> {
         let mut workspaces = self.setup.workspaces.iter_mut();
         let found = workspaces.find(|plan| plan.name == change.workspace);
-        found.context("no such workspace")?.weight = change.weight;
+        found.context("unknown workspace; check the trace")?.weight = change.weight;
         self.publish_next().await
     }
 
-    /// Has two operators publish different successors of the version in force. The first in the
-    /// log wins; the second is what later versions must not be based on.
+    /// Publishes two different successors of the version in force, as two operators do. The first in
+    /// the log wins; later versions must not be based on the second.
     ///
     /// # Errors
-    /// The log does not take a record.
+    /// The log does not acknowledge a record.
     pub async fn publish_rivals(&mut self) -> anyhow::Result<()> {
         let winner = self.setup.bundle_text(self.version + 1, &self.servers);
-        let rival = format!("{winner}# a rival\n");
+        let conflicting = format!("{winner}# a rival\n");
         let winner_record = self.propose(&winner);
-        let rival_record = self.propose(&rival);
+        let conflicting_record = self.propose(&conflicting);
         let client = self.platform_client();
-        append_until_taken(&client, &winner_record).await?;
-        append_until_taken(&client, &rival_record).await?;
+        append_with_retries(&client, &winner_record).await?;
+        append_with_retries(&client, &conflicting_record).await?;
         self.version += 1;
-        self.text = winner;
+        self.published_text = winner;
         Ok(())
     }
 
@@ -358,22 +363,22 @@
         self.publish_text(&text).await
     }
 
-    /// Publishes a text as the next version; returns once the log has it.
+    /// Publishes a text as the next version. Returns after the log acknowledges it.
     ///
     /// # Errors
-    /// The log does not take the record.
+    /// The log does not acknowledge the record.
     pub async fn publish_text(&mut self, text: &str) -> anyhow::Result<u32> {
         let record = self.propose(text);
-        append_until_taken(&self.platform_client(), &record).await?;
+        append_with_retries(&self.platform_client(), &record).await?;
         self.version += 1;
-        text.clone_into(&mut self.text);
+        text.clone_into(&mut self.published_text);
         Ok(self.version)
     }
 
-    /// Waits until every running daemon takes requests.
+    /// Waits until every running instance is ready.
     ///
     /// # Errors
-    /// Names the daemons that are not ready after the limit.
+    /// Names the instances that are not ready within the timeout.
     pub async fn wait_until_ready(&self) -> anyhow::Result<()> {
         let started = Instant::now();
         loop {
@@ -386,14 +391,14 @@
             if waiting.is_empty() {
                 return Ok(());
             }
-            if started.elapsed() > Duration::from_millis(READY_LIMIT_MS) {
-                anyhow::bail!("not ready: {waiting:?}");
+            if started.elapsed() > Duration::from_millis(READY_TIMEOUT_MS) {
+                anyhow::bail!("instances not ready within the timeout: {waiting:?}");
             }
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Returns every event of every daemon, those that ended included.
+    /// Returns the events of all instances, including killed ones.
     pub fn events(&self) -> Vec<reedsail_events::Event> {
         let mut events = self.past_events.clone();
         for daemon in self.daemons.values() {
@@ -402,12 +407,13 @@
         reedsail_events::merge_events(events)
     }
 
-    /// Stops every daemon as planned, then the stand-ins. Returns whether no request was cut.
+    /// Gives every instance a planned stop, then stops the stand-ins. Returns whether no request was
+    /// cut off.
     pub async fn close(self) -> bool {
-        let mut finished = true;
+        let mut is_uncut = true;
         let closing: Vec<_> = self.daemons.into_values().map(RunningDaemon::close).collect();
         for daemon in closing {
-            finished &= daemon.await;
+            is_uncut &= daemon.await;
         }
         for engine in self.engines.into_values() {
             engine.close();
@@ -416,6 +422,6 @@
             plain.close();
         }
         self.platform.close();
-        finished
+        is_uncut
     }
 }
--- a/crates/reedsail_bench/src/lib.rs
+++ b/crates/reedsail_bench/src/lib.rs
@@ -1,6 +1,7 @@
-//! Replays recorded traces against a fleet on loopback, checks outcomes and measures.
+//! Replays recorded traces against a fleet on loopback, checks the outcomes and measures fairness,
+//! utilisation and latency.
 //!
-//! The stand-ins and the daemons run inside this one process, each daemon on threads of its own.
+//! The stand-ins and the instances run in one process. Each instance has its own threads.
 
 mod caller;
 mod checker;
--- a/crates/reedsail_bench/src/main.rs
+++ b/crates/reedsail_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `reedsail-bench`: replays, compares and measures; see docs/BENCH.md.
+//! `reedsail-bench`: replays traces, compares policies and runs soaks; see docs/BENCH.md.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -31,19 +31,19 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Replays traces against a fleet on loopback, and measures.
+        /// Replays traces against a fleet on loopback and measures it.
         cmd reedsail-bench {
             /// Replays a trace and prints a report; exit code 1 if it is not clean.
             cmd replay {
                 /// The trace.
                 required trace: PathBuf
-                /// `fleet` (default), `fifo` or `split`.
+                /// The policy: `fleet` (default), `fifo` or `split`.
                 optional --policy policy: String
-                /// A fault script; may be given more than once.
+                /// A fault script; repeatable.
                 repeated --faults file: PathBuf
                 /// Writes the report as JSON.
                 optional --json file: PathBuf
-                /// Writes the plot of service over time.
+                /// Writes the plot of service over time as SVG.
                 optional --svg file: PathBuf
             }
             /// Replays a trace under every policy.
@@ -52,45 +52,45 @@
                 required trace: PathBuf
                 /// Writes the reports as JSON.
                 optional --json file: PathBuf
-                /// Writes the plots, one below the other, as HTML.
+                /// Writes the plots of all policies as one HTML page.
                 optional --html file: PathBuf
             }
-            /// Makes a deployment's trace.
+            /// Generates the trace of a deployment.
             cmd trace {
-                /// `chatovna` or `vatuwaqa`.
+                /// The deployment: `chatovna` or `vatuwaqa`.
                 required name: String
                 /// The seed (default 7).
                 optional --seed seed: u64
-                /// Where to write it.
+                /// The output file.
                 required --out file: PathBuf
             }
-            /// Disturbs real processes of the router and checks its promises; exit code 1 if one
-            /// was broken.
+            /// Injects faults into real router processes and checks the promises; exit code 1 if one
+            /// is broken.
             cmd soak {
-                /// What the faults are drawn from (default 1).
+                /// The seed of the faults (default 1).
                 optional --seed seed: u64
-                /// How long callers ask (default 30).
+                /// The time during which callers send requests (default 30).
                 optional --for-s seconds: u64
-                /// How many daemons (default: drawn, 3 to 5).
+                /// The number of instances (default: 3 to 5, drawn from the seed).
                 optional --daemons count: usize
-                /// Plays a kept schedule instead.
+                /// Replays a stored schedule instead.
                 optional --replay file: PathBuf
-                /// Where a run that broke a promise is kept (default: soak-failures).
+                /// The folder for runs that break a promise (default: soak-failures).
                 optional --keep folder: PathBuf
-                /// Leaves out promises that load on the machine can break.
+                /// Skips promises that a high load on the machine can break.
                 optional --untimed
-                /// The router (default: beside this program).
+                /// The router binary (default: in the folder of this program).
                 optional --router file: PathBuf
                 /// Writes the report as JSON.
                 optional --json file: PathBuf
             }
-            /// The store of a soak; started by it.
+            /// Runs the store of a soak; started by the soak.
             cmd soak-store {}
-            /// A backend server of a soak; started by it.
+            /// Runs a backend server of a soak; started by the soak.
             cmd soak-server {
-                /// The server's id.
+                /// The id of the server.
                 required --id id: String
-                /// It answers with streams.
+                /// Answers with streams.
                 optional --streams
             }
         }
@@ -101,22 +101,22 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("error")).init();
     let flags = flags::ReedsailBench::from_env_or_exit();
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let clean = runtime.block_on(run(flags.subcommand))?;
-    if !clean {
+    let is_clean = runtime.block_on(run(flags.subcommand))?;
+    if !is_clean {
         std::process::exit(1);
     }
     Ok(())
 }
 
-/// Runs a command; `false` if its report is not clean.
+/// Runs a command. Returns whether its report is clean.
 async fn run(command: flags::ReedsailBenchCmd) -> anyhow::Result<bool> {
     match command {
         flags::ReedsailBenchCmd::Replay(replay) => run_replay(replay).await,
         flags::ReedsailBenchCmd::Compare(compare) => run_compare(compare).await,
         flags::ReedsailBenchCmd::Trace(trace) => {
-            let made = make_trace(&trace.name, trace.seed.unwrap_or(7))?;
-            std::fs::write(&trace.out, made.to_text())?;
-            println!("{} lines in {}", made.lines.len() + 1, trace.out.display());
+            let generated = make_trace(&trace.name, trace.seed.unwrap_or(7))?;
+            std::fs::write(&trace.out, generated.to_text())?;
+            println!("{} lines in {}", generated.lines.len() + 1, trace.out.display());
             Ok(true)
         }
         flags::ReedsailBenchCmd::Soak(soak) => run_soak_command(soak).await,
@@ -135,7 +135,7 @@
         "split" => PolicyChoice::Split {
             daemons: trace.fleet.daemons.len() as u32,
         },
-        other => anyhow::bail!("`{other}` is no policy; use fleet, fifo or split"),
+        other => anyhow::bail!("unknown policy `{other}`; use fleet, fifo or split"),
     };
     let faults = read_faults(&replay.faults)?;
     let faults = faults.as_ref().map(|(name, script)| (name.as_str(), script));
@@ -168,14 +168,14 @@
         );
         std::fs::write(file, page)?;
     }
-    // The baselines promise nothing; only the fleet's own policy must be clean.
+    // The baseline policies have no promises. Only the report of policy `fleet` must be clean.
     Ok(reports
         .iter()
         .all(|report| report.policy != "fleet" || report.is_clean()))
 }
 
 async fn run_soak_command(soak: flags::Soak) -> anyhow::Result<bool> {
-    let standins = std::env::current_exe().context("cannot find this program")?;
+    let standins = std::env::current_exe().context("cannot determine the path of this program")?;
     let router = soak
         .router
         .unwrap_or_else(|| standins.with_file_name("reedsail-router"));
@@ -188,7 +188,7 @@
         Some(file) => {
             let text =
                 std::fs::read_to_string(&file).with_context(|| format!("cannot read {}", file.display()))?;
-            serde_json::from_str(&text).with_context(|| format!("{} is no schedule", file.display()))?
+            serde_json::from_str(&text).with_context(|| format!("invalid schedule {}", file.display()))?
         }
         None => draw_schedule(
             soak.seed.unwrap_or(1),
@@ -209,7 +209,7 @@
     Trace::parse(&text)
 }
 
-/// Reads fault scripts and joins them, so that they strike together.
+/// Reads fault scripts and merges them into one. Returns `None` without a file.
 fn read_faults(files: &[PathBuf]) -> anyhow::Result<Option<(String, FaultScript)>> {
     let mut joined: Option<(String, FaultScript)> = None;
     for file in files {
--- a/crates/reedsail_bench/src/plot.rs
+++ b/crates/reedsail_bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws the service of each workspace over time as an SVG.
+//! Plots the service of each workspace over time as an SVG.
 
 use std::fmt::Write as _;
 
@@ -8,15 +8,15 @@
 const WIDTH: f64 = 900.0;
 const HEIGHT: f64 = 360.0;
 const MARGIN: f64 = 45.0;
-/// Colours that can be told apart, also by most who see red and green alike.
+/// A palette that most people with red-green colour blindness can distinguish.
 const COLOURS: &[&str] = &[
     "#0072b2", "#e69f00", "#009e73", "#cc79a7", "#56b4e9", "#d55e00", "#f0e442", "#444444",
 ];
 
-/// Draws tokens by weight, served since the start, a line for each workspace.
+/// Plots the tokens generated since the start, divided by weight, with one line per workspace.
 pub fn service_plot(title: &str, setup: &FleetSetup, samples: &[Sample]) -> String {
     let until_ms = samples.last().map_or(1.0, |sample| sample.at_ms).max(1.0);
-    let most = samples.last().map_or(1.0, |sample| {
+    let max_service = samples.last().map_or(1.0, |sample| {
         let served = setup
             .workspaces
             .iter()
@@ -28,11 +28,11 @@
          <rect width='100%' height='100%' fill='white'/>\n\
          <text x='{MARGIN}' y='18' font-size='14'>{title}</text>\n"
     );
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = writeln!(
         svg,
         "<text x='{MARGIN}' y='{}'>0 s</text><text x='{}' y='{}' text-anchor='end'>{:.0} s</text>\
-         <text x='4' y='{}'>{most:.0}</text>",
+         <text x='4' y='{}'>{max_service:.0}</text>",
         HEIGHT - 8.0,
         WIDTH - MARGIN,
         HEIGHT - 8.0,
@@ -44,7 +44,8 @@
         let mut points = String::new();
         for sample in samples {
             let x = MARGIN + sample.at_ms / until_ms * (WIDTH - 2.0 * MARGIN);
-            let y = HEIGHT - 25.0 - sample.tokens_of(&plan.name) / plan.weight / most * (HEIGHT - 70.0);
+            let y =
+                HEIGHT - 25.0 - sample.tokens_of(&plan.name) / plan.weight / max_service * (HEIGHT - 70.0);
             let _ = write!(points, "{x:.1},{y:.1} ");
         }
         let name = &plan.name;
--- a/crates/reedsail_bench/src/replay.rs
+++ b/crates/reedsail_bench/src/replay.rs
@@ -1,7 +1,7 @@
-//! Replays a trace against a fleet and reports.
+//! Replays a trace against a fleet and reports the results.
 //!
-//! One task owns the fleet and does what is due next: a line of the trace, a fault, or a look at
-//! the fleet. Callers run in tasks of their own.
+//! One task owns the fleet and runs each trace line, fault action and sample when it is due. Each
+//! caller runs in its own task.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -31,46 +31,46 @@
 use crate::checker::CallerRecord;
 use crate::checker::ReplayRecord;
 use crate::checker::check_promises;
-use crate::checker::doubled;
-use crate::checker::false_not_run;
+use crate::checker::count_false_not_run;
+use crate::checker::count_repeated_runs;
 use crate::fairness::measure_fairness;
 
-/// The time between two looks at the fleet.
-const SAMPLE_EVERY_MS: u64 = 100;
-/// The time between two looks for a bundle that is being rolled out.
-const ROLL_OUT_LOOK_MS: u64 = 10;
-/// The gap that may come beside the largest request's fair-part time.
+/// The interval between two samples of the fleet.
+const SAMPLE_INTERVAL_MS: u64 = 100;
+/// The interval between two checks whether a published bundle is in force.
+const ROLL_OUT_POLL_INTERVAL_MS: u64 = 10;
+/// The allowed fairness gap, in addition to the time of the largest request at the fair rate.
 const GAP_BOUND_S: f64 = 2.0;
-/// The same while faults strike.
+/// The allowed addition for a replay with faults.
 const GAP_BOUND_WITH_FAULTS_S: f64 = 12.0;
-/// How long a bundle may take to be in force.
+/// The maximum time from the publication of a bundle until all instances have it in force.
 const IN_FORCE_BOUND_MS: u64 = 2_000;
-/// The same while faults strike.
+/// The maximum for a replay with faults.
 const IN_FORCE_BOUND_WITH_FAULTS_MS: u64 = 30_000;
-/// How many unexpected outcomes are told in words.
-const TOLD_MAX: usize = 10;
-/// How often progress is told.
-const PROGRESS_EVERY_MS: u64 = 5_000;
+/// The maximum number of unexpected outcomes that the report describes.
+const UNEXPECTED_OUTCOMES_MAX: usize = 10;
+/// The interval between two progress lines.
+const PROGRESS_INTERVAL_MS: u64 = 5_000;
 
-/// One request of the trace.
+/// One request of the trace, as sent.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentRequest {
     at_ms: u64,
     daemon: String,
     workspace: String,
     class: String,
-    streamed: bool,
+    is_stream: bool,
     expect: Expectation,
     plan: RequestPlan,
 }
 
-/// What a replay is doing.
+/// The state of a running replay.
 struct Replay {
     fleet: Fleet,
     trace_seed: u64,
-    begun: Instant,
-    callers: JoinSet<(Sent, Caller)>,
-    done: Vec<(Sent, Caller)>,
+    started: Instant,
+    callers: JoinSet<(SentRequest, Caller)>,
+    finished: Vec<(SentRequest, Caller)>,
     sampled_service: String,
     samples: Vec<Sample>,
     roll_outs: Vec<(u32, Instant)>,
@@ -80,10 +80,10 @@
     keys: HashMap<String, String>,
 }
 
-/// Replays a trace; `progress` gets a line now and then. Returns the report and the samples.
+/// Replays a trace and passes progress lines to `progress`. Returns the report and the samples.
 ///
 /// # Errors
-/// The fleet cannot be started, or a line names what does not exist.
+/// The fleet cannot be started, or a line of the trace or the fault script cannot be run.
 pub async fn replay_trace(
     trace: &Trace,
     policy: PolicyChoice,
@@ -95,13 +95,13 @@
         ..PlatformConfig::default()
     };
     let fleet = Fleet::start(trace.fleet.clone(), policy, platform, |_| {}).await?;
-    progress("the fleet is ready");
+    progress("fleet is ready");
     let mut replay = Replay {
         fleet,
         trace_seed: trace.seed,
-        begun: Instant::now(),
+        started: Instant::now(),
         callers: JoinSet::new(),
-        done: Vec::new(),
+        finished: Vec::new(),
         sampled_service: sampled_service(trace),
         samples: Vec::new(),
         roll_outs: Vec::new(),
@@ -119,7 +119,7 @@
         faults: faults.map(|(name, _)| name.to_owned()),
         ..ReplayReport::default()
     };
-    let samples = replay.conclude(trace, policy, &script, &mut report).await;
+    let samples = replay.finish(trace, policy, &script, &mut report).await;
     Ok((report, samples))
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns the service whose fairness is measured: the first that has a model.
+/// Returns the service whose fairness is measured: the first model service.
 fn sampled_service(trace: &Trace) -> String {
     let mut services = trace.fleet.services.iter();
     let model = services.find(|service| service.model.is_some());
@@ -147,72 +147,74 @@
     ) -> anyhow::Result<()> {
         let mut lines: VecDeque<TraceLine> = trace.lines.iter().cloned().collect();
         let mut actions: VecDeque<_> = script.actions.iter().cloned().collect();
-        let mut sample_ms = 0;
-        let mut progress_ms = PROGRESS_EVERY_MS;
+        let mut next_sample_ms = 0;
+        let mut next_progress_ms = PROGRESS_INTERVAL_MS;
         let mut number = 0;
         while !(lines.is_empty()
             && actions.is_empty()
             && self.callers.is_empty()
             && self.roll_outs.is_empty())
         {
-            let now_ms = self.begun.elapsed().as_millis() as u64;
+            let now_ms = self.started.elapsed().as_millis() as u64;
             while let Some((_, action)) = actions.pop_front_if(|(at_ms, _)| *at_ms <= now_ms) {
-                action.strike(&mut self.fleet).await?;
+                action.apply(&mut self.fleet).await?;
             }
             while let Some(line) = lines.pop_front_if(|line| line.at_ms() <= now_ms) {
                 number += 1;
-                self.act(line, number).await?;
+                self.run_line(line, number).await?;
             }
-            if now_ms >= sample_ms {
-                sample_ms = now_ms + SAMPLE_EVERY_MS;
-                let at_ms = self.begun.elapsed().as_secs_f64() * 1_000.0;
+            if now_ms >= next_sample_ms {
+                next_sample_ms = now_ms + SAMPLE_INTERVAL_MS;
+                let at_ms = self.started.elapsed().as_secs_f64() * 1_000.0;
                 self.samples
                     .push(Sample::take(&self.fleet, &self.sampled_service, at_ms));
             }
-            if now_ms >= progress_ms {
-                progress_ms += PROGRESS_EVERY_MS;
-                let (open, done) = (self.callers.len(), self.done.len());
+            if now_ms >= next_progress_ms {
+                next_progress_ms += PROGRESS_INTERVAL_MS;
+                let (open, finished) = (self.callers.len(), self.finished.len());
                 progress(&format!(
-                    "{:>3} s: {done} requests done, {open} open",
+                    "{:>3} s: {finished} requests finished, {open} open",
                     now_ms / 1_000
                 ));
             }
-            self.note_roll_outs();
-            self.collect();
-            let mut due_ms = sample_ms;
+            self.record_finished_roll_outs();
+            self.collect_finished();
+            let mut due_ms = next_sample_ms;
             due_ms = due_ms.min(lines.front().map_or(u64::MAX, TraceLine::at_ms));
             due_ms = due_ms.min(actions.front().map_or(u64::MAX, |(at_ms, _)| *at_ms));
             if !self.roll_outs.is_empty() {
-                due_ms = due_ms.min(now_ms + ROLL_OUT_LOOK_MS);
+                due_ms = due_ms.min(now_ms + ROLL_OUT_POLL_INTERVAL_MS);
             }
-            sleep_until(self.begun + Duration::from_millis(due_ms)).await;
+            sleep_until(self.started + Duration::from_millis(due_ms)).await;
         }
         Ok(())
     }
 
-    fn collect(&mut self) {
+    fn collect_finished(&mut self) {
         while let Some(joined) = self.callers.try_join_next() {
-            // A caller's task neither panics nor is cancelled.
-            self.done.extend(joined);
+            // Caller tasks neither panic nor are cancelled, so no result is dropped here.
+            self.finished.extend(joined);
         }
     }
 
-    fn note_roll_outs(&mut self) {
+    fn record_finished_roll_outs(&mut self) {
         let daemons = &self.fleet.daemons;
-        let in_force = |version: u32| daemons.values().all(|daemon| daemon.bundle_version() >= version);
+        let is_in_force = |version: u32| daemons.values().all(|daemon| daemon.bundle_version() >= version);
         let in_force_ms = &mut self.in_force_ms;
         self.roll_outs.retain(|(version, published)| {
-            let ended = in_force(*version);
-            if ended {
+            let has_ended = is_in_force(*version);
+            if has_ended {
                 in_force_ms.push(published.elapsed().as_millis() as u64);
             }
-            !ended
+            !has_ended
         });
     }
 
-    async fn act(&mut self, line: TraceLine, number: u64) -> anyhow::Result<()> {
+    async fn run_line(&mut self, line: TraceLine, number: u64) -> anyhow::Result<()> {
         match line {
-            TraceLine::Setup { .. } => anyhow::bail!("the setup stands twice in the trace"),
+            TraceLine::Setup { .. } => {
+                anyhow::bail!("the trace has more than one line of kind `setup`; keep only the first")
+            }
             TraceLine::Chat {
                 at_ms,
                 daemon,
@@ -224,7 +226,7 @@
                 group,
                 expect,
             } => {
-                // The group comes first, filling the prefix; the number makes the prompt its own.
+                // The group fills the shared prefix of the prompt; the number makes the prompt unique.
                 let prompt = format!("{group:.<64} request {number} of seed {}", self.trace_seed);
                 let plan = RequestPlan::Chat {
                     model,
@@ -233,12 +235,12 @@
                     stream,
                     class: class.clone(),
                 };
-                self.send(Sent {
+                self.send(SentRequest {
                     at_ms,
                     daemon,
                     workspace,
                     class,
-                    streamed: stream,
+                    is_stream: stream,
                     expect,
                     plan,
                 })
@@ -252,14 +254,14 @@
                 key,
                 expect,
             } => {
-                let key = key.map(|label| self.key_of(label));
+                let key = key.map(|label| self.idempotency_key(label));
                 let plan = RequestPlan::Plain { method, path, key };
-                self.send(Sent {
+                self.send(SentRequest {
                     at_ms,
                     daemon,
                     workspace,
                     class: "plain".to_owned(),
-                    streamed: false,
+                    is_stream: false,
                     expect,
                     plan,
                 })
@@ -278,7 +280,7 @@
         }
     }
 
-    fn key_of(&mut self, label: String) -> String {
+    fn idempotency_key(&mut self, label: String) -> String {
         let key = self
             .keys
             .entry(label)
@@ -286,10 +288,14 @@
         key.clone()
     }
 
-    fn send(&mut self, sent: Sent) -> anyhow::Result<()> {
+    fn send(&mut self, sent: SentRequest) -> anyhow::Result<()> {
         let address = self.fleet.callers.get(&sent.daemon);
-        let address =
-            *address.ok_or_else(|| anyhow::anyhow!("the trace names an unknown daemon {}", sent.daemon))?;
+        let address = *address.ok_or_else(|| {
+            anyhow::anyhow!(
+                "unknown daemon `{}` in the trace; use one from its setup",
+                sent.daemon
+            )
+        })?;
         self.callers.spawn(async move {
             let caller = Caller::run(address, &sent.workspace, &sent.plan).await;
             (sent, caller)
@@ -297,24 +303,24 @@
         Ok(())
     }
 
-    /// Stops the fleet as planned, and turns what was recorded into the report.
-    async fn conclude(
+    /// Gives the fleet a planned stop and fills the report from the records.
+    async fn finish(
         self,
         trace: &Trace,
         policy: PolicyChoice,
         script: &FaultScript,
         report: &mut ReplayReport,
     ) -> Vec<Sample> {
-        let elapsed_s = self.begun.elapsed().as_secs_f64();
+        let elapsed_s = self.started.elapsed().as_secs_f64();
         let (capacity_per_s, largest_tokens) = service_figures(trace, &self.sampled_service);
         let fairness = measure_fairness(&trace.fleet, &self.samples, capacity_per_s, largest_tokens);
-        let with_faults = !script.actions.is_empty();
+        let has_faults = !script.actions.is_empty();
         let mut record = ReplayRecord {
-            callers: caller_records(&self.done, script),
+            callers: caller_records(&self.finished, script),
             fairness,
-            gap_bound_s: (policy == PolicyChoice::Fleet).then(|| gap_bound_s(&fairness, with_faults)),
+            gap_bound_s: (policy == PolicyChoice::Fleet).then(|| gap_bound_s(&fairness, has_faults)),
             in_force_ms: self.in_force_ms.clone(),
-            in_force_bound_ms: if with_faults {
+            in_force_bound_ms: if has_faults {
                 IN_FORCE_BOUND_WITH_FAULTS_MS
             } else {
                 IN_FORCE_BOUND_MS
@@ -333,8 +339,8 @@
         }
         record.events = self.fleet.events();
         record.stop_cut_nothing = self.fleet.close().await;
-        fill_counts(report, &self.done, script, &record);
-        fill_times(report, &self.done);
+        fill_counts(report, &self.finished, script, &record);
+        fill_times(report, &self.finished);
         fill_control(report, &record.samples);
         for event in &record.events {
             *report.events.entry(event.name.clone()).or_default() += 1;
@@ -350,19 +356,19 @@
     }
 }
 
-fn gap_bound_s(fairness: &FairnessFigures, with_faults: bool) -> f64 {
-    let beside = if with_faults {
+fn gap_bound_s(fairness: &FairnessFigures, has_faults: bool) -> f64 {
+    let margin_s = if has_faults {
         GAP_BOUND_WITH_FAULTS_S
     } else {
         GAP_BOUND_S
     };
-    fairness.largest_request_s + beside
+    fairness.largest_request_s + margin_s
 }
 
-/// Returns the tokens a second that a service generates at most, and its largest request.
+/// Returns the maximum token rate of a service, and the tokens of the largest request in the trace.
 fn service_figures(trace: &Trace, service: &str) -> (f64, u64) {
-    let described = trace.fleet.services.iter().find(|setup| setup.name == service);
-    let capacity_per_s = described.map_or(0.0, |setup| {
+    let service_setup = trace.fleet.services.iter().find(|setup| setup.name == service);
+    let capacity_per_s = service_setup.map_or(0.0, |setup| {
         let servers: u32 = setup.servers_by_domain.values().sum();
         f64::from(servers * setup.slots) * 1_000.0 / setup.token_interval_ms.max(1) as f64
     });
@@ -373,8 +379,9 @@
     (capacity_per_s, largest.max().unwrap_or(0))
 }
 
-fn caller_records(done: &[(Sent, Caller)], script: &FaultScript) -> Vec<CallerRecord> {
-    done.iter()
+fn caller_records(finished: &[(SentRequest, Caller)], script: &FaultScript) -> Vec<CallerRecord> {
+    finished
+        .iter()
         .map(|(sent, caller)| CallerRecord {
             request_id: caller.request_id.clone(),
             outcome: caller.outcome.clone(),
@@ -386,8 +393,12 @@
 fn is_expected(expect: &Expectation, outcome: &Outcome) -> bool {
     match (expect, outcome) {
         (Expectation::Answered | Expectation::AnsweredOr(_), Outcome::Answered) => true,
-        (Expectation::NotRun(kind), Outcome::Failed { kind: met, ran }) => kind == met && ran == "not_run",
-        (Expectation::Earlier(kind), Outcome::Failed { kind: met, ran }) => kind == met && ran != "not_run",
+        (Expectation::NotRun(kind), Outcome::Failed { kind: actual, ran }) => {
+            kind == actual && ran == "not_run"
+        }
+        (Expectation::Earlier(kind), Outcome::Failed { kind: actual, ran }) => {
+            kind == actual && ran != "not_run"
+        }
         (Expectation::AnsweredOr(kinds), Outcome::Failed { kind, .. }) => kinds.contains(kind),
         _ => false,
     }
@@ -395,14 +406,14 @@
 
 fn fill_counts(
     report: &mut ReplayReport,
-    done: &[(Sent, Caller)],
+    finished: &[(SentRequest, Caller)],
     script: &FaultScript,
     record: &ReplayRecord,
 ) {
-    report.requests_total = done.len() as u64;
-    report.doubled_total = doubled(record);
-    report.false_not_run_total = false_not_run(record);
-    for (sent, caller) in done {
+    report.requests_total = finished.len() as u64;
+    report.doubled_total = count_repeated_runs(record);
+    report.false_not_run_total = count_false_not_run(record);
+    for (sent, caller) in finished {
         let excused = script.excuses(&caller.outcome, &sent.daemon, sent.at_ms);
         match &caller.outcome {
             Outcome::Answered => report.answered_total += 1,
@@ -416,25 +427,25 @@
             continue;
         }
         report.unexpected_outcomes_total += 1;
-        if report.unexpected_outcomes.len() < TOLD_MAX {
-            let told = format!(
-                "at {} ms {} of {} at {}: {:?} instead of {:?}",
+        if report.unexpected_outcomes.len() < UNEXPECTED_OUTCOMES_MAX {
+            let description = format!(
+                "at {} ms: request {} of {} at {}: {:?}, expected {:?}",
                 sent.at_ms, caller.request_id, sent.workspace, sent.daemon, caller.outcome, sent.expect
             );
-            report.unexpected_outcomes.push(told);
+            report.unexpected_outcomes.push(description);
         }
     }
 }
 
-fn fill_times(report: &mut ReplayReport, done: &[(Sent, Caller)]) {
+fn fill_times(report: &mut ReplayReport, finished: &[(SentRequest, Caller)]) {
     let mut totals: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-    let mut firsts: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+    let mut first_tokens: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     let mut by_workspace: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-    for (sent, caller) in done
+    for (sent, caller) in finished
         .iter()
         .filter(|(_, caller)| caller.outcome == Outcome::Answered)
     {
-        if sent.streamed {
+        if sent.is_stream {
             let times = by_workspace.entry(sent.workspace.clone()).or_default();
             times.push(caller.first_ms);
         }
@@ -442,8 +453,8 @@
             .entry(sent.class.clone())
             .or_default()
             .push(caller.total_ms);
-        if sent.streamed {
-            firsts
+        if sent.is_stream {
+            first_tokens
                 .entry(sent.class.clone())
                 .or_default()
                 .push(caller.first_ms);
@@ -456,7 +467,7 @@
         figures.collect::<BTreeMap<_, _>>()
     };
     report.latency_ms = summarise(totals);
-    report.first_token_ms = summarise(firsts);
+    report.first_token_ms = summarise(first_tokens);
     report.first_token_by_workspace_ms = summarise(by_workspace);
 }
 
--- a/crates/reedsail_bench/src/report.rs
+++ b/crates/reedsail_bench/src/report.rs
@@ -1,4 +1,4 @@
-//! What a replay reports.
+//! The report of a replay.
 
 use std::collections::BTreeMap;
 
@@ -12,23 +12,23 @@
 /// Percentiles in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyFigures {
-    /// How many were measured.
+    /// The number of measurements.
     pub count: u64,
     /// The median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
 impl LatencyFigures {
-    /// Summarises times in milliseconds.
+    /// Computes the percentiles of times in milliseconds.
     pub fn of(times_ms: &[f64]) -> Self {
         let mut histogram: Histogram<u64> = Histogram::new(3).expect("three digits are a valid precision");
         histogram.auto(true);
         for time_ms in times_ms {
-            // With automatic growth every value fits.
+            // An auto-resizing histogram accepts every value.
             let _ = histogram.record((time_ms * 1_000.0) as u64);
         }
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
@@ -41,12 +41,12 @@
     }
 }
 
-/// Everything that a replay reports.
+/// The results of a replay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplayReport {
-    /// The deployment.
+    /// The name of the deployment.
     pub trace: String,
-    /// The policy.
+    /// The name of the policy.
     pub policy: String,
     /// The trace's seed.
     pub seed: u64,
@@ -54,68 +54,69 @@
     pub faults: Option<String>,
     /// Requests sent.
     pub requests_total: u64,
-    /// Answered whole.
+    /// Requests with a complete answer.
     pub answered_total: u64,
-    /// Refused as not run.
+    /// Requests rejected as not run.
     pub refused_not_run_total: u64,
-    /// Ended without anybody knowing whether they ran.
+    /// Requests that failed with an unknown run state.
     pub unknown_total: u64,
-    /// Left without a whole answer or a final error.
+    /// Requests that ended without a complete answer or a final error, unless a fault excuses it.
     pub lost_total: u64,
-    /// Given another request's answer.
+    /// Requests that received the answer to another request.
     pub crossed_total: u64,
-    /// Run more than once though they may not be.
+    /// Non-idempotent calls that ran more than once.
     pub doubled_total: u64,
-    /// Refused as "not run" though a backend server's record shows them.
+    /// Requests rejected as "not run" although a backend server recorded them.
     pub false_not_run_total: u64,
-    /// Ended otherwise than their line states.
+    /// Requests whose outcome differs from the trace's expectation.
     pub unexpected_outcomes_total: u64,
-    /// The first few of those, in words.
+    /// Descriptions of the first few unexpected outcomes.
     pub unexpected_outcomes: Vec<String>,
     /// The fairness gap in seconds.
     pub fairness_gap_s: f64,
-    /// Utilisation while work waited.
+    /// Utilisation while any request was queued.
     pub utilisation_ratio: f64,
-    /// More on both.
+    /// The fairness and utilisation figures in full.
     pub fairness: FairnessFigures,
-    /// Control bytes a second and daemon, mean over the daemons.
+    /// Control bytes per second of an instance, as the mean over all instances.
     pub control_bytes_per_s_per_daemon: f64,
-    /// The same for the daemon that spends most.
+    /// Control bytes per second of the instance with the most.
     pub control_bytes_per_s_max: f64,
-    /// How long a published bundle took to be in force everywhere, at most.
+    /// The longest time from the publication of a bundle until all instances had it in force.
     pub bundle_in_force_ms: Option<u64>,
-    /// Time to the whole answer, by class.
+    /// Time to the complete answer, by class.
     pub latency_ms: BTreeMap<String, LatencyFigures>,
     /// Time to the first token of streams, by class.
     pub first_token_ms: BTreeMap<String, LatencyFigures>,
-    /// Whether a planned stop of all daemons at the end cut nothing.
+    /// Whether the planned stop of all instances at the end cut off no request.
     pub stop_cut_nothing: bool,
     /// Time to the first token of streams, by workspace.
     pub first_token_by_workspace_ms: BTreeMap<String, LatencyFigures>,
-    /// Events of all daemons, by name.
+    /// The number of events of all instances, by name.
     pub events: BTreeMap<String, u64>,
-    /// The promises of the brief, each with its evidence.
+    /// The checked promises, each with its evidence.
     pub promises: Vec<PromiseCheck>,
-    /// How long the replay took.
+    /// The duration of the replay.
     pub elapsed_s: f64,
 }
 
 impl ReplayReport {
-    /// Tells whether nothing was lost, doubled, crossed or unexpected, and every promise held.
+    /// Returns whether no request was lost, crossed, run twice, falsely reported as not run or
+    /// unexpected, and every promise held.
     pub fn is_clean(&self) -> bool {
-        let wrong = self.lost_total
+        let violations_total = self.lost_total
             + self.crossed_total
             + self.doubled_total
             + self.false_not_run_total
             + self.unexpected_outcomes_total;
-        wrong == 0 && self.promises.iter().all(|promise| promise.holds)
+        violations_total == 0 && self.promises.iter().all(|promise| promise.holds)
     }
 
-    /// Writes the report for people.
+    /// Formats the report as text.
     pub fn render(&self) -> String {
         let mut lines = self.render_totals();
         lines.extend(self.render_details());
-        lines.push(format!("took {:.1} s", self.elapsed_s));
+        lines.push(format!("duration {:.1} s", self.elapsed_s));
         lines.join("\n")
     }
 
@@ -123,11 +124,11 @@
         vec![
             format!("trace {} policy {} seed {}", self.trace, self.policy, self.seed),
             format!(
-                "requests {}: answered {}, refused as not run {}, unknown {}",
+                "requests {}: answered {}, rejected as not run {}, unknown {}",
                 self.requests_total, self.answered_total, self.refused_not_run_total, self.unknown_total
             ),
             format!(
-                "lost {}, crossed {}, doubled {}, false not-run {}, unexpected {}",
+                "lost {}, crossed {}, run twice {}, falsely not run {}, unexpected {}",
                 self.lost_total,
                 self.crossed_total,
                 self.doubled_total,
@@ -135,7 +136,7 @@
                 self.unexpected_outcomes_total
             ),
             format!(
-                "fairness gap {:.2} s (halves {:.2} and {:.2}, largest request {:.2}), over {:.1} s of backlog",
+                "fairness gap {:.2} s (halves {:.2} and {:.2}, largest request {:.2}), during {:.1} s of backlog",
                 self.fairness_gap_s,
                 self.fairness.gap_first_half_s,
                 self.fairness.gap_second_half_s,
@@ -144,7 +145,7 @@
             ),
             format!("utilisation {:.4}", self.utilisation_ratio),
             format!(
-                "control {:.0} B/s a daemon (most {:.0})",
+                "control {:.0} B/s per instance (maximum {:.0})",
                 self.control_bytes_per_s_per_daemon, self.control_bytes_per_s_max
             ),
         ]
--- a/crates/reedsail_bench/src/sampler.rs
+++ b/crates/reedsail_bench/src/sampler.rs
@@ -1,29 +1,29 @@
-//! Looks at the fleet at regular moments: who waits, what was served, how busy the engines are.
+//! Samples the fleet at regular intervals: queued requests, generated tokens and engine utilisation.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
 use crate::Fleet;
 
-/// One look at one service.
+/// The state of one service at one time.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Milliseconds since the start.
+    /// Milliseconds since the start of the replay.
     pub at_ms: f64,
     /// Tokens generated so far, by workspace.
     pub tokens: HashMap<String, u64>,
-    /// Requests waiting at all daemons, by workspace.
+    /// Requests queued at all instances, by workspace.
     pub queued: BTreeMap<String, u32>,
     /// Busy slot time so far, in milliseconds.
     pub busy_slot_ms: f64,
-    /// Slots of all engines that are not leaving.
+    /// Slots of all engines in the fleet's setup.
     pub slots: u32,
-    /// Control bytes so far, by daemon.
+    /// Control bytes so far, by instance.
     pub control_bytes: BTreeMap<String, u64>,
 }
 
 impl Sample {
-    /// Looks at a model service.
+    /// Samples a model service.
     pub fn take(fleet: &Fleet, service: &str, at_ms: f64) -> Self {
         let mut tokens: HashMap<String, u64> = HashMap::new();
         let mut busy_slot_ms = 0.0;
@@ -38,11 +38,11 @@
         let mut queued = BTreeMap::new();
         for plan in &fleet.setup.workspaces {
             let daemons = fleet.daemons.values();
-            let waiting: u32 = daemons.map(|daemon| daemon.queued(service, &plan.name)).sum();
-            queued.insert(plan.name.clone(), waiting);
+            let queued_total: u32 = daemons.map(|daemon| daemon.queued(service, &plan.name)).sum();
+            queued.insert(plan.name.clone(), queued_total);
         }
-        let described = fleet.setup.services.iter().find(|setup| setup.name == service);
-        let slots = described.map_or(0, |setup| {
+        let service_setup = fleet.setup.services.iter().find(|setup| setup.name == service);
+        let slots = service_setup.map_or(0, |setup| {
             setup.slots * setup.servers_by_domain.values().sum::<u32>()
         });
         let control_bytes = fleet
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Tells whether any work waits at any daemon.
-    pub fn any_waits(&self) -> bool {
+    /// Returns whether any instance has a queued request.
+    pub fn has_queued_requests(&self) -> bool {
         self.queued.values().any(|count| *count > 0)
     }
 
-    /// Returns what a workspace was served so far.
+    /// Returns the number of tokens generated for a workspace so far.
     pub fn tokens_of(&self, workspace: &str) -> f64 {
         self.tokens.get(workspace).copied().unwrap_or(0) as f64
     }
--- a/crates/reedsail_bench/src/setup.rs
+++ b/crates/reedsail_bench/src/setup.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of, and the bundle that describes it.
+//! The setup of a fleet, and the bundle that describes it.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a workspace may have waiting if its plan does not say: more than any trace sends.
-const QUEUED_MAX: u32 = 20_000;
+/// The default limit of queued requests per workspace. It is above the number that any trace sends.
+const DEFAULT_QUEUED_MAX: u32 = 20_000;
 
-/// One daemon.
+/// One instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSetup {
@@ -29,15 +29,15 @@
     pub name: String,
     /// The model that it serves; a plain service has none.
     pub model: Option<String>,
-    /// The path prefix of a plain service.
+    /// The path prefix of a plain service; a model service has none.
     pub path_prefix: Option<String>,
-    /// Path prefix of the calls (POST) that may not be repeated and need a key.
+    /// The path prefix of the non-idempotent calls (POST), which require an idempotency key.
     pub keyed_prefix: Option<String>,
-    /// How many backend servers it has in each failure domain.
+    /// The number of its backend servers in each failure domain.
     pub servers_by_domain: BTreeMap<String, u32>,
-    /// How many requests a backend server runs at once.
+    /// The number of requests that a backend server runs concurrently.
     pub slots: u32,
-    /// The time between two tokens of an engine.
+    /// The time between two tokens of a stream.
     pub token_interval_ms: u64,
 }
 
@@ -45,11 +45,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspacePlan {
-    /// Its name; its callers' key is made from it.
+    /// Its name; the key of its callers is derived from it.
     pub name: String,
     /// Its weight.
     pub weight: f64,
-    /// The most requests that wait at one daemon; many if absent.
+    /// The maximum number of requests queued at one instance; defaults to `DEFAULT_QUEUED_MAX`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queued_max: Option<u32>,
 }
@@ -75,9 +75,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSetup {
-    /// The deployment's name.
+    /// The name of the deployment.
     pub name: String,
-    /// The daemons.
+    /// The instances.
     pub daemons: Vec<DaemonSetup>,
     /// The services.
     pub services: Vec<ServiceSetup>,
@@ -85,11 +85,11 @@
     pub workspaces: Vec<WorkspacePlan>,
 }
 
-/// A backend server's name, failure domain and address.
-pub(crate) type ServerPlace = (String, String, SocketAddr);
+/// The name, failure domain and address of a backend server.
+pub(crate) type ServerAddress = (String, String, SocketAddr);
 
 impl FleetSetup {
-    /// Returns the failure domains in the order of the daemons.
+    /// Returns the failure domains in the order of the instances.
     pub fn domains(&self) -> Vec<String> {
         let mut domains: Vec<String> = Vec::new();
         for daemon in &self.daemons {
@@ -100,14 +100,14 @@
         domains
     }
 
-    /// Returns a workspace's weight.
+    /// Returns the weight of a workspace; 1 if the workspace is unknown.
     pub fn weight_of(&self, workspace: &str) -> f64 {
         let found = self.workspaces.iter().find(|plan| plan.name == workspace);
         found.map_or(1.0, |plan| plan.weight)
     }
 
-    /// Writes the bundle, with the servers' addresses as they turned out.
-    pub(crate) fn bundle_text(&self, version: u32, servers: &BTreeMap<String, Vec<ServerPlace>>) -> String {
+    /// Formats the bundle, with the addresses on which the backend servers listen.
+    pub(crate) fn bundle_text(&self, version: u32, servers: &BTreeMap<String, Vec<ServerAddress>>) -> String {
         let mut text = format!("version: {version}\nservices:\n");
         for service in &self.services {
             write_service(&mut text, service, &servers[&service.name]);
@@ -116,18 +116,18 @@
         for workspace in &self.workspaces {
             let digest = hex::encode(digest_of(&WorkspacePlan::caller_key(&workspace.name)));
             let (name, weight) = (&workspace.name, workspace.weight);
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(text, "  - name: {name}\n    weight: {weight}");
             let _ = writeln!(text, "    key_digests: [{digest}]");
-            let queued_max = workspace.queued_max.unwrap_or(QUEUED_MAX);
+            let queued_max = workspace.queued_max.unwrap_or(DEFAULT_QUEUED_MAX);
             let _ = writeln!(text, "    limits: {{queued_max: {queued_max}}}");
         }
         text
     }
 }
 
-fn write_service(text: &mut String, service: &ServiceSetup, servers: &[ServerPlace]) {
-    // Writing to a string does not fail.
+fn write_service(text: &mut String, service: &ServiceSetup, servers: &[ServerAddress]) {
+    // Writing to a `String` cannot fail.
     let _ = writeln!(text, "  - name: {}", service.name);
     match (&service.model, &service.path_prefix) {
         (Some(model), _) => {
--- a/crates/reedsail_bench/src/trace.rs
+++ b/crates/reedsail_bench/src/trace.rs
@@ -1,4 +1,5 @@
-//! Recorded traces: a fleet, then what callers and operators did, each line with its outcome.
+//! Recorded traces: the setup of a fleet, then the actions of callers and operators. Each request
+//! has its expected outcome.
 
 use anyhow::Context as _;
 use serde::Deserialize;
@@ -7,17 +8,17 @@
 use crate::FleetSetup;
 use crate::setup::BundleChangePlan;
 
-/// What is to come of a request.
+/// The expected outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expectation {
-    /// It is answered, whole and with its own answer.
+    /// A complete answer to this request.
     Answered,
-    /// It is refused with this error kind, and did not run.
+    /// A rejection with this error kind; the request did not run.
     NotRun(String),
-    /// It is answered with this error kind, which says that an earlier call had its key.
+    /// An answer with this error kind, because an earlier call used the same idempotency key.
     Earlier(String),
-    /// It is answered, or ends with one of these error kinds; for lines that meet faults.
+    /// A complete answer, or a failure with one of these error kinds. For requests during a fault.
     AnsweredOr(Vec<String>),
 }
 
@@ -25,20 +26,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum TraceLine {
-    /// The fleet; the first line.
+    /// The setup of the fleet; the first line of a trace.
     Setup {
-        /// The seed of whatever is drawn at random.
+        /// The seed of the random generator.
         seed: u64,
         /// The fleet.
         fleet: FleetSetup,
     },
     /// A chat request.
     Chat {
-        /// When it is sent.
+        /// The time at which it is sent.
         at_ms: u64,
-        /// The daemon that the balancer gives it to.
+        /// The instance to which the load balancer sends it.
         daemon: String,
-        /// The workspace whose key it carries; an unknown one has an unknown key.
+        /// The workspace whose key it has. An unknown workspace yields an unknown key.
         workspace: String,
         /// The model.
         model: String,
@@ -46,40 +47,40 @@
         class: String,
         /// Tokens to generate.
         tokens: u64,
-        /// Whether the answer is wanted as a stream.
+        /// Whether it requests a streamed answer.
         stream: bool,
-        /// Prompts of one group share their beginning.
+        /// The prompt group; prompts of one group share a prefix.
         group: String,
-        /// What is to come of it.
+        /// Its expected outcome.
         expect: Expectation,
     },
     /// A request to a plain service.
     Plain {
-        /// When it is sent.
+        /// The time at which it is sent.
         at_ms: u64,
-        /// The daemon that the balancer gives it to.
+        /// The instance to which the load balancer sends it.
         daemon: String,
-        /// The workspace whose key it carries.
+        /// The workspace whose key it has.
         workspace: String,
         /// The method.
         method: String,
         /// The path.
         path: String,
-        /// A label from which the idempotency key is made; lines with one label share the key.
+        /// A label for the idempotency key; lines with the same label share a key.
         key: Option<String>,
-        /// What is to come of it.
+        /// Its expected outcome.
         expect: Expectation,
     },
     /// An operator publishes the successor of the bundle in force.
     Publish {
-        /// When it is published.
+        /// The time at which it is published.
         at_ms: u64,
-        /// What changes.
+        /// The change.
         change: BundleChangePlan,
     },
     /// A backend server is marked as leaving in the platform's list.
     Leave {
-        /// When the list is changed; it shows after its lag.
+        /// The time at which the list changes. Readers see the change after the list's lag.
         at_ms: u64,
         /// The backend server.
         server: String,
@@ -87,7 +88,7 @@
 }
 
 impl TraceLine {
-    /// Returns when the line is due; the setup comes before everything.
+    /// Returns the time at which the line is due; 0 for the setup.
     pub fn at_ms(&self) -> u64 {
         match self {
             Self::Setup { .. } => 0,
@@ -102,24 +103,24 @@
 /// A whole trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// The seed of whatever is drawn at random.
+    /// The seed of the random generator.
     pub seed: u64,
     /// The fleet.
     pub fleet: FleetSetup,
-    /// What happens, in the order of time.
+    /// The lines after the setup, sorted by time.
     pub lines: Vec<TraceLine>,
 }
 
 impl Trace {
-    /// Reads a trace, one JSON object a line.
+    /// Parses a trace with one JSON object per line.
     ///
     /// # Errors
-    /// Names the line that cannot be read, or says that the setup is missing.
+    /// A line is invalid, the trace is empty, or the setup is missing.
     pub fn parse(text: &str) -> anyhow::Result<Self> {
         let mut lines = Vec::new();
         for (index, line) in text.lines().enumerate() {
-            let parsed =
-                serde_json::from_str(line).with_context(|| format!("line {} of the trace", index + 1))?;
+            let parsed = serde_json::from_str(line)
+                .with_context(|| format!("invalid line {} of the trace", index + 1))?;
             lines.push(parsed);
         }
         if lines.is_empty() {
@@ -132,7 +133,7 @@
         Ok(Self { seed, fleet, lines })
     }
 
-    /// Writes the trace, one JSON object a line.
+    /// Formats the trace with one JSON object per line.
     pub fn to_text(&self) -> String {
         let setup = TraceLine::Setup {
             seed: self.seed,
@@ -140,7 +141,7 @@
         };
         let mut text = String::new();
         for line in std::iter::once(&setup).chain(&self.lines) {
-            text.push_str(&serde_json::to_string(line).expect("a line is always JSON"));
+            text.push_str(&serde_json::to_string(line).expect("a trace line always serialises to JSON"));
             text.push('\n');
         }
         text
--- a/crates/reedsail_bench/src/trace_maker.rs
+++ b/crates/reedsail_bench/src/trace_maker.rs
@@ -1,4 +1,4 @@
-//! Makes the traces of both deployments, from their sizes of today and a seed.
+//! Generates the traces of both deployments from their current sizes and a seed.
 
 use std::collections::BTreeMap;
 
@@ -15,20 +15,20 @@
 use crate::TraceLine;
 use crate::WorkspacePlan;
 
-/// Slots of one engine; daemons divide them evenly under the baseline `split`.
+/// Slots of one engine; divisible by the number of instances, for the baseline policy `split`.
 const ENGINE_SLOTS: u32 = 18;
-/// Time between two tokens; a third of the real one, so that replays are short.
+/// Time between two tokens; a third of the real interval, to keep replays short.
 const TOKEN_INTERVAL_MS: u64 = 20;
-/// When the quiet part ends and the backlog begins.
-const BACKLOG_FROM_MS: u64 = 4_000;
-/// Over which time the backlog's requests arrive, ever faster, as on a morning.
-const BACKLOG_RISE_MS: f64 = 12_000.0;
-/// Requests of a large workspace, many times what it can be served in its fair part.
+/// The end of the light load and the start of the backlog.
+const BACKLOG_START_MS: u64 = 4_000;
+/// The time over which the requests of the backlog arrive, at an increasing rate as in a morning.
+const BACKLOG_RAMP_MS: f64 = 12_000.0;
+/// Requests of a large workspace, many times the amount that its fair share can serve.
 const LARGE_REQUESTS: usize = 600;
-/// Requests of a small workspace, enough to keep it backlogged for most of the run.
+/// Requests of a small workspace, enough to keep it backlogged for most of the replay.
 const SMALL_REQUESTS: usize = 85;
 
-/// What tells the two deployments apart.
+/// The names that differ between the two deployments.
 struct Deployment {
     name: &'static str,
     domains: [&'static str; 3],
@@ -107,17 +107,17 @@
     groups: ["supplier sheet", "planting guide", "reorder letter", "plant care"],
 };
 
-/// Makes the trace `chatovna` or `vatuwaqa`.
+/// Generates the trace of the deployment `chatovna` or `vatuwaqa`.
 ///
 /// # Errors
-/// The name is neither.
+/// The name is unknown.
 pub fn make_trace(name: &str, seed: u64) -> anyhow::Result<Trace> {
     let deployment = match name {
         "chatovna" => &CHATOVNA,
         "vatuwaqa" => &VATUWAQA,
-        other => anyhow::bail!("`{other}` is no deployment; use chatovna or vatuwaqa"),
+        other => anyhow::bail!("unknown deployment `{other}`; use chatovna or vatuwaqa"),
     };
-    let mut maker = Maker {
+    let mut maker = TraceMaker {
         deployment,
         random: StdRng::seed_from_u64(seed),
         daemons: deployment
@@ -127,9 +127,9 @@
             .collect(),
         lines: Vec::new(),
     };
-    maker.quiet_part();
-    maker.backlog_part();
-    maker.operators();
+    maker.add_light_load();
+    maker.add_backlog();
+    maker.add_operator_actions();
     let mut lines = maker.lines;
     lines.sort_by_key(TraceLine::at_ms);
     Ok(Trace {
@@ -184,16 +184,16 @@
     }
 }
 
-struct Maker {
+struct TraceMaker {
     deployment: &'static Deployment,
     random: StdRng,
     daemons: Vec<String>,
     lines: Vec<TraceLine>,
 }
 
-impl Maker {
-    /// The daemons that a workspace's callers reach: the first small one a single daemon, five
-    /// more the same one, the others two to four; a large one all.
+impl TraceMaker {
+    /// Returns the instances that the callers of a workspace use. The first six small workspaces use
+    /// the same single instance, each other small one uses two to four, and a large one uses all.
     fn daemons_of(&self, workspace: &str) -> Vec<String> {
         let Some(index) = self.deployment.small.iter().position(|name| *name == workspace) else {
             return self.daemons.clone();
@@ -223,7 +223,7 @@
         all[self.random.random_range(0..all.len())].to_owned()
     }
 
-    fn chat(&mut self, at_ms: u64, workspace: &str, class: &str, tokens: u64) {
+    fn add_chat(&mut self, at_ms: u64, workspace: &str, class: &str, tokens: u64) {
         let daemon = self.pick_daemon(workspace);
         let group = self.deployment.groups[self.random.random_range(0..4)];
         self.lines.push(TraceLine::Chat {
@@ -239,7 +239,7 @@
         });
     }
 
-    fn plain(&mut self, at_ms: u64, method: &str, path: &str, key: Option<String>, expect: Expectation) {
+    fn add_plain(&mut self, at_ms: u64, method: &str, path: &str, key: Option<String>, expect: Expectation) {
         let workspace = self.pick_workspace();
         let daemon = self.daemons[self.random.random_range(0..self.daemons.len())].clone();
         self.lines.push(TraceLine::Plain {
@@ -253,13 +253,13 @@
         });
     }
 
-    /// Light traffic of every kind, and requests that must be refused.
-    fn quiet_part(&mut self) {
-        for at_ms in (100..BACKLOG_FROM_MS - 1_000).step_by(60) {
+    /// Adds light traffic of every kind, and requests that must be rejected.
+    fn add_light_load(&mut self) {
+        for at_ms in (100..BACKLOG_START_MS - 1_000).step_by(60) {
             let workspace = self.pick_workspace();
             let tokens = self.random.random_range(5..40);
-            self.chat(at_ms, &workspace, "interactive", tokens);
-            self.plain(
+            self.add_chat(at_ms, &workspace, "interactive", tokens);
+            self.add_plain(
                 at_ms,
                 "GET",
                 self.deployment.read_path,
@@ -270,7 +270,7 @@
         for number in 0..40 {
             let at_ms = 200 + number * 60;
             let label = Some(format!("deposit-{number}"));
-            self.plain(
+            self.add_plain(
                 at_ms,
                 "POST",
                 self.deployment.keyed_path,
@@ -279,23 +279,23 @@
             );
         }
         for number in 0..10 {
-            // Well after the first call has ended, wherever the repeat arrives.
+            // Repeats arrive well after the first call has ended, at any instance.
             let at_ms = 3_000 + number * 50;
             let label = Some(format!("deposit-{number}"));
             let expect = Expectation::Earlier("idempotency_key_already_ran".to_owned());
-            self.plain(at_ms, "POST", self.deployment.keyed_path, label, expect);
+            self.add_plain(at_ms, "POST", self.deployment.keyed_path, label, expect);
         }
-        self.refused_part();
+        self.add_rejected_requests();
     }
 
-    /// Requests that must be refused.
-    fn refused_part(&mut self) {
-        let refused = |kind: &str| Expectation::NotRun(kind.to_owned());
-        let keyless = refused("idempotency_key_required");
-        self.plain(500, "POST", self.deployment.keyed_path, None, keyless);
-        self.plain(600, "GET", "/elsewhere", None, refused("unknown_route"));
+    /// Adds requests that must be rejected.
+    fn add_rejected_requests(&mut self) {
+        let rejected = |kind: &str| Expectation::NotRun(kind.to_owned());
+        let key_required = rejected("idempotency_key_required");
+        self.add_plain(500, "POST", self.deployment.keyed_path, None, key_required);
+        self.add_plain(600, "GET", "/elsewhere", None, rejected("unknown_route"));
         let daemon = self.daemons[4].clone();
-        let chat = |at_ms, workspace: &str, model: &str, expect| TraceLine::Chat {
+        let chat_line = |at_ms, workspace: &str, model: &str, expect| TraceLine::Chat {
             at_ms,
             daemon: daemon.clone(),
             workspace: workspace.to_owned(),
@@ -309,41 +309,42 @@
         let model = self.deployment.model;
         let first = self.deployment.small[0];
         self.lines
-            .push(chat(700, "nobody", model, refused("unknown_key")));
+            .push(chat_line(700, "nobody", model, rejected("unknown_key")));
         self.lines
-            .push(chat(800, first, "no-such-model", refused("unknown_model")));
+            .push(chat_line(800, first, "no-such-model", rejected("unknown_model")));
     }
 
-    /// Draws a moment of the backlog's rise: twice as far in, twice as many requests a second.
-    fn rising_ms(&mut self) -> u64 {
-        let along: f64 = self.random.random();
-        BACKLOG_FROM_MS + (BACKLOG_RISE_MS * along.sqrt()) as u64
+    /// Draws an arrival time in the backlog's ramp. The request rate grows linearly with the time since
+    /// the ramp's start.
+    fn draw_arrival_ms(&mut self) -> u64 {
+        let fraction: f64 = self.random.random();
+        BACKLOG_START_MS + (BACKLOG_RAMP_MS * fraction.sqrt()) as u64
     }
 
-    /// Every workspace gets more work than it can be served for a while.
-    fn backlog_part(&mut self) {
+    /// Adds more requests for each workspace than its share can serve for a while.
+    fn add_backlog(&mut self) {
         for workspace in self.deployment.large {
             for _ in 0..LARGE_REQUESTS {
-                let at_ms = self.rising_ms();
+                let at_ms = self.draw_arrival_ms();
                 let tokens = self.random.random_range(20..180);
-                self.chat(at_ms, workspace, "batch", tokens);
+                self.add_chat(at_ms, workspace, "batch", tokens);
             }
         }
         for workspace in self.deployment.small {
             for _ in 0..SMALL_REQUESTS {
-                let at_ms = self.rising_ms();
+                let at_ms = self.draw_arrival_ms();
                 let tokens = self.random.random_range(20..180);
                 let class = if self.random.random_range(0..3) == 0 {
                     "batch"
                 } else {
                     "interactive"
                 };
-                self.chat(at_ms, workspace, class, tokens);
+                self.add_chat(at_ms, workspace, class, tokens);
             }
         }
         for number in 0..60 {
-            let at_ms = BACKLOG_FROM_MS + number * 200;
-            self.plain(
+            let at_ms = BACKLOG_START_MS + number * 200;
+            self.add_plain(
                 at_ms,
                 "GET",
                 self.deployment.read_path,
@@ -351,7 +352,7 @@
                 Expectation::Answered,
             );
             let label = Some(format!("busy-{number}"));
-            self.plain(
+            self.add_plain(
                 at_ms,
                 "POST",
                 self.deployment.keyed_path,
@@ -361,8 +362,8 @@
         }
     }
 
-    /// Two roll-outs that change nothing for the measures, and a backend server that leaves late.
-    fn operators(&mut self) {
+    /// Adds two roll-outs that don't affect the measurements, and a leaving backend server.
+    fn add_operator_actions(&mut self) {
         let change = BundleChangePlan {
             workspace: self.deployment.small[12].to_owned(),
             weight: 1.0,
