--- a/crates/reedsail_bench/tests/bad_input.rs
+++ b/crates/reedsail_bench/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Each kind of bad input has its own entry of the closed table, and the daemon serves on.
+//! Tests that each kind of invalid input yields its own error kind, and that the instance still serves
+//! requests afterwards.
 
 mod common;
 
@@ -17,7 +18,7 @@
 use common::wait_for_version;
 
 #[test]
-fn each_bad_request_gets_its_own_answer() {
+fn each_invalid_request_gets_its_own_error_kind() {
     run(async {
         let fleet = common::tuned_fleet(1, 1, |settings| settings.limits.body_bytes_max = 4_096).await;
         let address = fleet.callers["hall-a-1"];
@@ -113,14 +114,14 @@
             assert_eq!(served.status.as_u16(), 200, "after {}", kind.name());
         }
         for plain in fleet.plains.values() {
-            assert!(plain.runs().is_empty(), "nothing that was refused has run");
+            assert!(plain.runs().is_empty(), "no rejected request has run");
         }
         fleet.close().await;
     });
 }
 
 #[test]
-fn a_rate_limit_and_a_full_queue_say_when_to_come_back() {
+fn a_rate_limit_and_a_full_queue_return_retry_after() {
     run(async {
         let mut fleet = common::small_fleet(1, 1).await;
         let text = fleet
@@ -160,29 +161,32 @@
 }
 
 #[test]
-fn a_bundle_that_cannot_be_applied_leaves_the_last_one_in_force() {
+fn an_inapplicable_bundle_leaves_the_previous_one_in_force() {
     run(async {
         let mut fleet = common::small_fleet(1, 1).await;
         let text = fleet.bundle_text().replace("version: 1", "version: 2");
         let negative = text.replacen("weight: 1", "weight: -1", 1);
         fleet.publish_text(&negative).await.unwrap();
         let address = fleet.callers["hall-a-1"];
-        let says_so = |fleet: &reedsail_bench::Fleet| {
+        let find_not_applied_event = |fleet: &reedsail_bench::Fleet| {
             let events = fleet.events();
             events
                 .into_iter()
                 .find(|event| event.name == "bundle_not_applied")
         };
-        let mut told = None;
+        let mut reported = None;
         for _ in 0..100 {
             tokio::time::sleep(Duration::from_millis(20)).await;
-            told = says_so(&fleet);
-            if told.is_some() {
+            reported = find_not_applied_event(&fleet);
+            if reported.is_some() {
                 break;
             }
         }
-        let told = told.expect("the daemon says so loudly");
-        assert!(told.fields["error"].contains("`-1` must be a number"), "{told:?}");
+        let reported = reported.expect("the instance reports an event");
+        assert!(
+            reported.fields["error"].contains("`-1` must be a number"),
+            "{reported:?}"
+        );
         let key = new_key();
         let deposit = request("POST", "/booking/deposits/confirm", "labska").header("idempotency-key", key);
         assert_eq!(
@@ -193,7 +197,7 @@
             200
         );
         assert_eq!(fleet.daemons["hall-a-1"].bundle_version(), 1);
-        // The operators roll forward.
+        // The operators publish a valid next version.
         fleet
             .publish_text(&text.replace("version: 2", "version: 3"))
             .await
--- a/crates/reedsail_bench/tests/checker.rs
+++ b/crates/reedsail_bench/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker must fail on a planted violation of each promise.
+//! Tests that the checker detects a violation of each promise.
 
 use reedsail_bench::CallerRecord;
 use reedsail_bench::Outcome;
@@ -58,8 +58,8 @@
     }
 }
 
-/// A record in which every promise holds.
-fn good() -> ReplayRecord {
+/// Returns a record in which every promise holds.
+fn valid_record() -> ReplayRecord {
     let mut record = ReplayRecord {
         callers: vec![caller("1", Outcome::Answered), caller("2", not_run())],
         plain_runs: vec![deposit("1", "key-1")],
@@ -80,29 +80,29 @@
     record
 }
 
-fn broken(record: &ReplayRecord) -> Vec<String> {
+fn broken_promises(record: &ReplayRecord) -> Vec<String> {
     let checks = check_promises(record);
     let failed = checks.into_iter().filter(|check: &PromiseCheck| !check.holds);
     failed.map(|check| check.promise).collect()
 }
 
-fn assert_breaks(plant: impl FnOnce(&mut ReplayRecord), promise: &str) {
-    let mut record = good();
-    plant(&mut record);
-    let found = broken(&record);
+fn assert_breaks(violate: impl FnOnce(&mut ReplayRecord), promise: &str) {
+    let mut record = valid_record();
+    violate(&mut record);
+    let found = broken_promises(&record);
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].contains(promise), "{found:?}");
 }
 
 #[test]
-fn a_good_record_keeps_all_eight_promises() {
-    let checks = check_promises(&good());
+fn a_valid_record_keeps_all_eight_promises() {
+    let checks = check_promises(&valid_record());
     assert_eq!(checks.len(), 8);
-    assert_eq!(broken(&good()), Vec::<String>::new());
+    assert_eq!(broken_promises(&valid_record()), Vec::<String>::new());
 }
 
 #[test]
-fn a_wide_gap_is_found() {
+fn a_fairness_gap_above_the_bound_is_detected() {
     assert_breaks(
         |record| record.fairness.gap_s = 2.1,
         "gap in service stays bounded",
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_starved_workspace_is_found() {
+fn a_starved_workspace_is_detected() {
     assert_breaks(
         |record| record.samples = vec![sample(0.0, 5), sample(3_000.0, 5), sample(5_100.0, 5)],
         "no workspace starves",
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_crossed_answer_is_found() {
+fn a_crossed_answer_is_detected() {
     assert_breaks(
         |record| record.callers[0].outcome = Outcome::Crossed,
         "whole answer",
@@ -126,13 +126,13 @@
 }
 
 #[test]
-fn a_lost_answer_is_found() {
+fn a_lost_answer_is_detected() {
     let lost = Outcome::Lost("no answer".to_owned());
     assert_breaks(|record| record.callers[0].outcome = lost, "whole answer");
 }
 
 #[test]
-fn a_refusal_that_ran_on_a_plain_server_is_found() {
+fn a_rejected_request_that_ran_on_a_plain_server_is_detected() {
     assert_breaks(
         |record| record.plain_runs.push(deposit("2", "key-2")),
         "did not run",
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_refusal_that_ran_on_an_engine_is_found() {
+fn a_rejected_request_that_ran_on_an_engine_is_detected() {
     assert_breaks(
         |record| {
             record.engine_requests.insert("2".to_owned(), 1);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_key_that_ran_twice_is_found() {
+fn a_key_that_ran_twice_is_detected() {
     assert_breaks(
         |record| record.plain_runs.push(deposit("3", "key-1")),
         "at most once",
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_request_without_a_key_that_ran_twice_is_found() {
+fn a_request_without_a_key_that_ran_twice_is_detected() {
     assert_breaks(
         |record| record.plain_runs.extend([deposit("3", ""), deposit("3", "")]),
         "at most once",
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn work_on_a_server_that_left_is_found() {
+fn a_late_request_to_a_leaving_server_is_detected() {
     assert_breaks(
         |record| {
             let late = event(EventKind::RequestDispatched, 7_001, &[("server", "booking-1")]);
@@ -177,12 +177,12 @@
 }
 
 #[test]
-fn a_cut_stop_is_found() {
+fn a_request_cut_off_by_a_planned_stop_is_detected() {
     assert_breaks(|record| record.stop_cut_nothing = false, "planned stop");
 }
 
 #[test]
-fn a_reverted_bundle_is_found() {
+fn a_reverted_bundle_is_detected() {
     assert_breaks(
         |record| {
             let back = event(EventKind::BundleInForce, 3, &[("version", "1")]);
@@ -193,6 +193,6 @@
 }
 
 #[test]
-fn a_slow_roll_out_is_found() {
+fn a_slow_roll_out_is_detected() {
     assert_breaks(|record| record.in_force_ms.push(2_001), "in force everywhere");
 }
--- a/crates/reedsail_bench/tests/common/mod.rs
+++ b/crates/reedsail_bench/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small fleets and raw requests that the tests share.
+//! Small fleets and raw requests, shared by the tests.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::SocketAddr;
@@ -24,7 +24,8 @@
 use reedsail_standin::PlatformConfig;
 use tokio::time::sleep;
 
-/// A fleet of one to three failure domains with two daemons in each but a lone one.
+/// Returns the setup of a fleet with one to three failure domains, `daemons_per_domain` instances in
+/// each and one backend server of each service in each.
 pub(crate) fn small_setup(domains: usize, daemons_per_domain: usize) -> FleetSetup {
     let names: Vec<String> = ["hall-a", "hall-b", "hall-c"]
         .iter()
@@ -37,7 +38,7 @@
             failure_domain: domain.clone(),
         })
     });
-    let one_each = || names.iter().map(|domain| (domain.clone(), 1)).collect();
+    let one_server_per_domain = || names.iter().map(|domain| (domain.clone(), 1)).collect();
     FleetSetup {
         name: "small".to_owned(),
         daemons: daemons.collect(),
@@ -47,7 +48,7 @@
                 model: Some("hut-writer".to_owned()),
                 path_prefix: None,
                 keyed_prefix: None,
-                servers_by_domain: one_each(),
+                servers_by_domain: one_server_per_domain(),
                 slots: 8,
                 token_interval_ms: 5,
             },
@@ -56,7 +57,7 @@
                 model: None,
                 path_prefix: Some("/booking/".to_owned()),
                 keyed_prefix: Some("/booking/deposits".to_owned()),
-                servers_by_domain: one_each(),
+                servers_by_domain: one_server_per_domain(),
                 slots: 32,
                 token_interval_ms: 0,
             },
@@ -72,12 +73,12 @@
     }
 }
 
-/// Starts a small fleet with quick leases.
+/// Starts a small fleet with short leases.
 pub(crate) async fn small_fleet(domains: usize, daemons_per_domain: usize) -> Fleet {
     tuned_fleet(domains, daemons_per_domain, |_| {}).await
 }
 
-/// Starts a small fleet, its settings changed.
+/// Starts a small fleet with changed settings.
 pub(crate) async fn tuned_fleet(
     domains: usize,
     daemons_per_domain: usize,
@@ -96,17 +97,17 @@
     .expect("the fleet starts")
 }
 
-/// Runs a test's future on a runtime of several threads.
+/// Runs the future of a test on a multi-threaded runtime.
 pub(crate) fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime can be built");
     runtime.block_on(test)
 }
 
-/// An answer as it came.
+/// An unprocessed answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -122,14 +123,14 @@
             .unwrap_or_default()
     }
 
-    /// Returns the error kind in the body.
+    /// Returns the error kind in the body, or `none` without one.
     pub(crate) fn kind(&self) -> String {
         let body: serde_json::Value = serde_json::from_slice(&self.body).unwrap_or_default();
         body["error"]["kind"].as_str().unwrap_or("none").to_owned()
     }
 }
 
-/// Begins a request with a workspace's key.
+/// Returns a request builder with the key of a workspace.
 pub(crate) fn request(method: &str, path: &str, workspace: &str) -> hyper::http::request::Builder {
     Request::builder()
         .method(method)
@@ -141,18 +142,18 @@
         )
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete answer.
 pub(crate) async fn send(address: SocketAddr, request: Request<Full<Bytes>>) -> Answer {
     let mut connection = HttpConnection::open(address, 5_000, ByteCounter::default())
         .await
-        .expect("the daemon takes connections");
+        .expect("the instance accepts connections");
     assert!(connection.ready().await);
-    let response = connection.send(request).await.expect("the daemon answers");
+    let response = connection.send(request).await.expect("the instance answers");
     let (parts, body) = response.into_parts();
     Answer {
         status: parts.status,
         headers: parts.headers,
-        body: body.collect().await.expect("the answer is whole").to_bytes(),
+        body: body.collect().await.expect("the answer is complete").to_bytes(),
     }
 }
 
@@ -167,14 +168,14 @@
     Full::new(Bytes::from(body.to_string()))
 }
 
-/// A key for a call that may not be repeated.
+/// Returns a new idempotency key.
 pub(crate) fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// Waits until a version is in force on every running daemon.
+/// Waits until a bundle version is in force on every running instance.
 pub(crate) async fn wait_for_version(fleet: &Fleet, version: u32, limit_ms: u64) {
-    let until = Instant::now() + Duration::from_millis(limit_ms);
+    let deadline = Instant::now() + Duration::from_millis(limit_ms);
     loop {
         let lagging: Vec<&str> = fleet
             .daemons
@@ -186,7 +187,7 @@
             return;
         }
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "version {version} is not in force on {lagging:?}"
         );
         sleep(Duration::from_millis(5)).await;
--- a/crates/reedsail_bench/tests/decisions_page.rs
+++ b/crates/reedsail_bench/tests/decisions_page.rs
@@ -1,4 +1,5 @@
-//! docs/DECISIONS.md names what there is: modules, functions, constants, log fields, metrics, tests.
+//! Checks that every module, function, constant, log field, metric and test that docs/DECISIONS.md
+//! names exists.
 
 use std::path::PathBuf;
 
@@ -13,12 +14,12 @@
     std::fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// Returns the names in back ticks of a cell.
+/// Returns the names in backticks in a cell.
 fn names(cell: &str) -> impl Iterator<Item = &str> {
     cell.split('`').skip(1).step_by(2)
 }
 
-/// Returns the cells of each rule's row.
+/// Returns the cells of each row in the table of rules.
 fn rows(page: &str) -> Vec<Vec<&str>> {
     let table = page.lines().skip_while(|line| !line.starts_with("| question"));
     let rows = table.skip(2).take_while(|line| line.starts_with('|'));
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn every_rule_stands_where_the_page_says() {
+fn every_rule_is_in_the_module_that_the_page_names() {
     let page = read("docs/DECISIONS.md");
     let rows = rows(&page);
     assert!(rows.len() >= 15, "{} rows", rows.len());
@@ -54,7 +55,7 @@
             } else {
                 format!("crates/reedsail_dispatch/tests/{name}")
             };
-            assert!(root().join(&test).exists(), "{test} is not there");
+            assert!(root().join(&test).exists(), "test file {test} does not exist");
         }
     }
 }
@@ -71,7 +72,7 @@
             let is_metric = metrics.contains(&format!("\"{name}\""));
             assert!(
                 is_field || is_kind || is_metric,
-                "{name} is no field, error kind or metric"
+                "`{name}` is not a log field, error kind or metric"
             );
         }
         for number in row[4]
@@ -79,12 +80,12 @@
             .filter_map(|word| word.parse::<u16>().ok())
         {
             let is_known = EventKind::ALL.iter().any(|kind| kind.number() == number);
-            assert!(is_known, "{number} is no event");
+            assert!(is_known, "{number} is not the number of an event");
         }
     }
 }
 
-/// A constant that decides, without a word on where its figure comes from, is a riddle at night.
+/// Each constant of a decision needs a comment with the reason for its value, for the engineer on call.
 #[test]
 fn every_constant_of_the_decisions_has_a_comment() {
     let folder = root().join("crates/reedsail_dispatch/src");
--- a/crates/reedsail_bench/tests/docs.rs
+++ b/crates/reedsail_bench/tests/docs.rs
@@ -1,4 +1,4 @@
-//! docs/ and the code say the same, in both directions.
+//! Checks that the tables in docs/ and the code list the same entries, in both directions.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
     std::fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// Takes the backticks off a cell that is one quoted word.
+/// Removes the backticks from a cell that is a single quoted word.
 fn unquoted(cell: &str) -> String {
     let inner = cell.strip_prefix('`').and_then(|rest| rest.strip_suffix('`'));
     match inner {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Returns the cells of every row of the page's tables, but for headers and rules.
+/// Returns the cells of every table row of a page, except separator lines.
 fn table_rows(page: &str) -> Vec<Vec<String>> {
     let rows = page
         .lines()
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_table_of_errors_is_the_codes() {
+fn errors_page_matches_the_code() {
     let page = read("docs/ERRORS.md");
     let rows: BTreeSet<Vec<String>> = table_rows(&page)
         .into_iter()
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_catalogue_of_events_is_the_codes() {
+fn events_page_matches_the_code() {
     let page = read("docs/EVENTS.md");
     let rows: BTreeSet<Vec<String>> = table_rows(&page)
         .into_iter()
@@ -83,11 +83,15 @@
     });
     assert_eq!(rows, kinds.collect());
     let numbers: BTreeSet<u16> = EventKind::ALL.iter().map(|kind| kind.number()).collect();
-    assert_eq!(numbers.len(), EventKind::ALL.len(), "a number stands twice");
+    assert_eq!(
+        numbers.len(),
+        EventKind::ALL.len(),
+        "two events have the same number"
+    );
 }
 
 #[test]
-fn the_page_of_metrics_names_what_the_daemon_shows() {
+fn daemon_metrics_page_matches_the_code() {
     let page = read("docs/reedsaild/METRICS.md");
     let named: BTreeSet<String> = table_rows(&page).into_iter().map(|row| row[0].clone()).collect();
     let code = read("crates/reedsail_daemon/src/metrics.rs");
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn the_page_of_settings_names_every_key() {
+fn daemon_settings_page_matches_the_code() {
     let page = read("docs/reedsaild/SETTINGS.md");
     let named: BTreeSet<String> = table_rows(&page)
         .into_iter()
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn the_page_of_faults_names_every_fault() {
+fn faults_page_names_every_fault() {
     let page = read("docs/FAULTS.md");
     let code = read("crates/reedsail_bench/src/faults.rs");
     let body = code.split("Some(match text.as_str() {").nth(1).unwrap();
@@ -140,11 +144,14 @@
         .collect();
     assert!(known.len() > 10);
     for name in known {
-        assert!(page.contains(&format!("`{name}`")), "{name} is missing");
+        assert!(
+            page.contains(&format!("`{name}`")),
+            "fault `{name}` is missing in docs/FAULTS.md"
+        );
     }
 }
 
-/// Returns the first cells of the tables that follow a heading of the router's page.
+/// Returns the first cells of the tables below a heading of docs/ROUTER.md.
 fn router_rows(heading: &str, header: &str) -> BTreeSet<String> {
     let page = read("docs/ROUTER.md");
     let part = page.split(heading).nth(1).unwrap_or_default();
@@ -157,7 +164,7 @@
 }
 
 #[test]
-fn the_routers_page_names_what_it_shows() {
+fn router_page_names_every_metric() {
     let code = read("crates/reedsail_router/src/metrics.rs");
     let known: BTreeSet<String> = code
         .split('"')
@@ -168,7 +175,7 @@
 }
 
 #[test]
-fn the_routers_page_names_every_setting() {
+fn router_page_names_every_setting() {
     let code = read("crates/reedsail_router/src/settings.rs");
     let code = code.split_whitespace().collect::<Vec<_>>().join(" ");
     let mut known = BTreeSet::new();
--- a/crates/reedsail_bench/tests/failures.rs
+++ b/crates/reedsail_bench/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures brought about on real sockets: nothing lost, nothing doubled, nothing cut.
+//! Tests with faults injected on real sockets: no request is lost, run twice or cut off.
 
 mod common;
 
@@ -61,14 +61,14 @@
     fleet.engines.values().next().expect("an engine")
 }
 
-async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..500 {
         if holds() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{what} within ten seconds");
+    panic!("condition not met within ten seconds: {what}");
 }
 
 #[test]
@@ -84,14 +84,14 @@
         let daemon = fleet.daemons.remove("hall-a-1").unwrap();
         assert!(
             daemon.open_requests() >= 30,
-            "most are still open as the stop begins"
+            "most requests are still open at the start of the stop"
         );
-        assert!(daemon.close().await, "nothing was cut");
+        assert!(daemon.close().await, "no request was cut off");
         for caller in callers.join_all().await {
             assert_eq!(caller.outcome, Outcome::Answered);
         }
-        // The other daemon has all the slots now.
-        eventually("the other daemon takes over", || {
+        // The other instance now has all slots.
+        wait_until("the other instance takes over", || {
             fleet.daemons["hall-a-2"].slot_counts("assistant-llm").0 == 8
         })
         .await;
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn callers_of_other_daemons_lose_nothing_when_one_is_killed() {
+fn a_killed_instance_loses_no_request_of_other_instances() {
     run(async {
         let mut fleet = common::small_fleet(2, 2).await;
         let mut callers = JoinSet::new();
@@ -123,29 +123,29 @@
         fleet.start_daemon("hall-a-1").await.unwrap();
         fleet.wait_until_ready().await.unwrap();
         let caller = Caller::run(fleet.callers["hall-a-1"], "labska", &chat_plan(5_000, 5)).await;
-        assert_eq!(caller.outcome, Outcome::Answered, "back with no state");
+        assert_eq!(caller.outcome, Outcome::Answered, "restarted without state");
         fleet.close().await;
     });
 }
 
 #[test]
-fn a_restart_with_no_state_finds_the_bundle_wherever_it_can() {
+fn a_restart_without_state_gets_the_bundle_from_the_log_or_a_peer() {
     run(async {
         let mut fleet = common::small_fleet(1, 2).await;
-        // Log up, peers up: covered by every other test. Log up, peers cut off:
+        // Log reachable, peers reachable: covered by every other test. Log reachable, peers unreachable:
         fleet.kill_daemon("hall-a-1");
         fleet.gate.cut("hall-a-1", "hall-a-2");
         fleet.start_daemon("hall-a-1").await.unwrap();
-        eventually("the log alone makes it ready", || {
+        wait_until("the log alone makes it ready", || {
             fleet.daemons["hall-a-1"].stage() == Stage::Ready
         })
         .await;
-        // Log down, peers up:
+        // Log unreachable, peers reachable:
         fleet.kill_daemon("hall-a-1");
         fleet.gate.heal("hall-a-1", "hall-a-2");
         fleet.platform.set_faults(|faults| faults.outage = true);
         fleet.start_daemon("hall-a-1").await.unwrap();
-        eventually("a peer alone makes it ready", || {
+        wait_until("a peer alone makes it ready", || {
             fleet.daemons["hall-a-1"].stage() == Stage::Ready
         })
         .await;
@@ -154,7 +154,7 @@
             Caller::run(address, "labska", &beds_plan()).await.outcome,
             Outcome::Answered
         );
-        // Log down, peers cut off: not ready, and callers are told that nothing ran.
+        // Log unreachable, peers unreachable: not ready, and callers get `not_run`.
         fleet.kill_daemon("hall-a-1");
         fleet.gate.cut("hall-a-1", "hall-a-2");
         fleet.start_daemon("hall-a-1").await.unwrap();
@@ -167,7 +167,7 @@
         };
         assert_eq!(refused.outcome, not_ready);
         fleet.platform.set_faults(|faults| faults.outage = false);
-        eventually("the log is back", || {
+        wait_until("the log is back", || {
             fleet.daemons["hall-a-1"].stage() == Stage::Ready
         })
         .await;
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_outage_longer_than_retention_reverts_nothing() {
+fn an_outage_longer_than_retention_reverts_no_bundle() {
     run(async {
         let mut fleet =
             common::tuned_fleet(1, 2, |settings| settings.control.checkpoint_every_ms = 1_000).await;
@@ -187,20 +187,20 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         fleet.platform.age_out();
         fleet.platform.set_faults(|faults| faults.outage = false);
-        eventually("the version is repeated in the log", || {
+        wait_until("the version is repeated in the log", || {
             let events = fleet.events();
             events.iter().any(|event| event.name == "checkpoint_appended")
         })
         .await;
-        // A daemon that knows nobody finds the version in the log alone.
+        // An instance without peers reads the version from the log alone.
         fleet.kill_daemon("hall-a-1");
         fleet.gate.cut("hall-a-1", "hall-a-2");
         fleet.start_daemon("hall-a-1").await.unwrap();
-        eventually("the checkpoint is found", || {
+        wait_until("the checkpoint is found", || {
             fleet.daemons["hall-a-1"].bundle_version() == 2
         })
         .await;
-        // And the next version comes into force everywhere.
+        // The next version comes into force everywhere.
         fleet.gate.heal("hall-a-1", "hall-a-2");
         let next = text.replace("version: 2", "version: 3");
         fleet.publish_text(&next).await.unwrap();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn calls_that_may_not_be_repeated_run_at_most_once_through_kills_and_lost_answers() {
+fn non_idempotent_calls_run_at_most_once_despite_kills_and_lost_answers() {
     run(async {
         let mut fleet = common::small_fleet(1, 3).await;
         fleet.platform.set_faults(|faults| faults.lost_answer_ratio = 0.2);
@@ -246,7 +246,7 @@
                     .flat_map(reedsail_standin::PlainStandin::runs);
                 assert!(
                     runs.all(|run| run.request_id != caller.request_id),
-                    "{key} was said not to have run"
+                    "{key} ran, but its caller got `not_run`"
                 );
             }
         }
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_call_whose_answer_was_lost_is_never_sent_again() {
+fn a_keyed_call_with_a_lost_answer_is_never_retried() {
     run(async {
         let fleet = common::small_fleet(1, 1).await;
         first_plain(&fleet).set_faults(|faults| faults.answers_lost = 1);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn an_outage_of_the_log_refuses_keyed_calls_alone_and_leaves_their_keys_free() {
+fn a_log_outage_rejects_only_keyed_calls_and_leaves_their_keys_unused() {
     run(async {
         let fleet = common::small_fleet(1, 1).await;
         let address = fleet.callers["hall-a-1"];
@@ -320,7 +320,7 @@
         assert_eq!(
             outcome,
             Outcome::Answered,
-            "the same key runs once the log is back"
+            "a call with the same key runs after the log recovers"
         );
         assert_eq!(keyed_runs(&fleet, &key), 1);
         fleet.close().await;
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_broken_stream_goes_on_from_the_last_token() {
+fn a_broken_stream_resumes_from_the_last_token() {
     run(async {
         let fleet = common::small_fleet(2, 1).await;
         let address = fleet.callers["hall-a-1"];
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_frees_its_slot_and_cancels_its_stream() {
+fn a_disconnected_caller_frees_its_slot_and_cancels_its_stream() {
     run(async {
         let fleet = common::small_fleet(1, 1).await;
         let address = fleet.callers["hall-a-1"];
@@ -360,17 +360,17 @@
         for number in 0..12 {
             callers.spawn(async move { Caller::run(address, "labska", &chat_plan(number, 2_000)).await });
         }
-        eventually("all slots are used", || {
+        wait_until("all slots are used", || {
             fleet.daemons["hall-a-1"].slot_counts("assistant-llm").1 == 8
         })
         .await;
         callers.abort_all();
-        eventually("all slots are free", || {
+        wait_until("all slots are free", || {
             let daemon = &fleet.daemons["hall-a-1"];
             daemon.slot_counts("assistant-llm").1 == 0 && daemon.open_requests() == 0
         })
         .await;
-        eventually("the engine has stopped", || first_engine(&fleet).load().0 == 0).await;
+        wait_until("the engine has stopped", || first_engine(&fleet).load().0 == 0).await;
         fleet.close().await;
     });
 }
@@ -385,13 +385,13 @@
         assert_eq!(
             stalled.outcome,
             Outcome::Answered,
-            "a body that never ends is asked for again"
+            "a request with a stalled body is retried"
         );
-        // What may be repeated is asked again, elsewhere or of the same server.
+        // An idempotent request is retried, on another or the same server.
         first_plain(&fleet).set_faults(|faults| faults.answers_crossed = 1);
         let crossed = Caller::run(address, "labska", &beds_plan()).await;
         assert_eq!(crossed.outcome, Outcome::Answered);
-        // What may not be repeated ends as unknown.
+        // A non-idempotent call ends as unknown.
         first_plain(&fleet).set_faults(|faults| faults.answers_crossed = 1);
         let key = new_key();
         let keyed = Caller::run(address, "labska", &deposit_plan(&key)).await;
@@ -417,7 +417,7 @@
         let fleet = common::small_fleet(2, 1).await;
         let leaving = "booking-api-hall-a-1";
         fleet.set_leaving(leaving);
-        eventually("both daemons know", || {
+        wait_until("both instances mark the server as leaving", || {
             let events = fleet.events();
             let known = events.iter().filter(|event| event.name == "server_leaving");
             known.count() == 2
@@ -434,17 +434,18 @@
     });
 }
 
-/// A frozen daemon started a request, once in some hundred runs: its lease was valid, and yet the other one held all
-/// eight slots. Each had taken the other for gone for a moment and was an allocator, and for three seconds neither
-/// asked the other again. Over sockets, 1,000 ms after a cut between the two was over, both still held eight;
-/// `lease_handover.rs` of `reedsail_scheduling` holds the leases of all daemons against the slots.
+/// Guards against a frozen instance that starts a request, seen once in some hundred runs. Its lease was valid
+/// while the other instance held all eight slots. Each had suspected the other for a moment and become an
+/// allocator, and for three seconds neither contacted the other again. Over sockets, both still held eight slots
+/// 1,000 ms after the end of a cut between them. `lease_handover.rs` of `reedsail_scheduling` checks the leases of
+/// all instances against the slots.
 #[test]
-fn a_frozen_daemon_starts_nothing_after_its_lease_and_goes_on_when_thawed() {
+fn a_frozen_instance_starts_no_request_after_its_lease_and_resumes_when_thawed() {
     run(async {
         let fleet = common::small_fleet(1, 2).await;
         let frozen = "hall-a-1";
         fleet.gate.freeze(frozen, true);
-        eventually("the other daemon gets its slots", || {
+        wait_until("the other instance gets its slots", || {
             fleet.daemons["hall-a-2"].slot_counts("assistant-llm").0 == 8
         })
         .await;
@@ -464,7 +465,7 @@
 }
 
 #[test]
-fn a_domain_cut_off_serves_on_and_comes_back() {
+fn a_partitioned_failure_domain_serves_requests_and_recovers() {
     run(async {
         let fleet = common::small_fleet(2, 2).await;
         fleet.gate.cut("hall-a", "hall-b");
--- a/crates/reedsail_bench/tests/golden.rs
+++ b/crates/reedsail_bench/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The closed lists that others rely on, pinned: error kinds with their statuses, events with their
-//! numbers, the names of `reedsaild`'s metrics.
+//! Pins the outward names: error kinds with their statuses, events with their numbers, and the names
+//! of `reedsaild`'s metrics.
 
 use std::fmt::Write;
 
@@ -25,7 +25,8 @@
     insta::assert_snapshot!("events", rows);
 }
 
-/// Metrics are made from literals: a name, a help text, names of labels. Help texts have spaces.
+/// Each metric is declared with string literals: a name, a help text and label names. Only help texts
+/// contain spaces.
 #[test]
 fn metrics_of_the_daemon_keep_their_names_and_labels() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../reedsail_daemon/src/metrics.rs");
--- a/crates/reedsail_bench/tests/known_red.rs
+++ b/crates/reedsail_bench/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! No test is passed over but those that KNOWN-RED.txt names, each with its cause.
+//! Checks that the ignored tests are exactly those listed in KNOWN-RED.txt.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -8,24 +8,24 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn test_files(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_source_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            test_files(&path, found);
+            collect_source_files(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
     }
 }
 
-/// Returns the names of the tests that carry the attribute.
+/// Returns the names of the ignored tests.
 fn ignored_tests() -> BTreeSet<String> {
-    // Written apart, so that this file does not count itself.
+    // The pattern is split, so that this file does not match it.
     let attribute = concat!("#[", "ignore");
     let mut files = Vec::new();
     for folder in ["crates", "platform"] {
-        test_files(&root().join(folder), &mut files);
+        collect_source_files(&root().join(folder), &mut files);
     }
     let mut names = BTreeSet::new();
     for file in files {
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn only_tests_that_are_known_to_fail_are_passed_over() {
-    let listed = std::fs::read_to_string(root().join("KNOWN-RED.txt")).unwrap_or_default();
-    let named: BTreeSet<String> = listed
+fn only_known_failing_tests_are_ignored() {
+    let list_text = std::fs::read_to_string(root().join("KNOWN-RED.txt")).unwrap_or_default();
+    let listed: BTreeSet<String> = list_text
         .lines()
         .filter_map(|line| line.split_once(" | "))
         .map(|(name, _)| name.to_owned())
         .collect();
-    assert_eq!(ignored_tests(), named);
+    assert_eq!(ignored_tests(), listed);
 }
--- a/crates/reedsail_bench/tests/sessions.rs
+++ b/crates/reedsail_bench/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions: what the caller sees, and the time line.
+//! Snapshots of sessions: the answers that the caller receives, and the timeline.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use common::send;
 use common::wait_for_version;
 
-/// Writes a session: answers as they came, then the events, without what differs from run to run.
+/// Formats a session: the answers in order, then the events. Masks values that differ between runs.
 fn golden(fleet: &Fleet, answers: &[common::Answer]) -> String {
     let mut text = String::new();
     for answer in answers {
@@ -38,7 +38,7 @@
     mask_ids(&text)
 }
 
-/// Replaces request ids, which hold the start's random number.
+/// Masks request ids, because they contain a random number of the instance's start.
 fn mask_ids(text: &str) -> String {
     let mut masked = String::new();
     for part in text.split_inclusive('"') {
@@ -86,7 +86,7 @@
     });
 }
 
-/// Waits until a daemon has reported an event, so that what comes after stands after it.
+/// Waits until an instance has reported an event, so that later events follow it in the snapshot.
 async fn wait_for_event(fleet: &Fleet, name: &str) {
     for _ in 0..1_000 {
         if fleet.events().iter().any(|event| event.name == name) {
@@ -94,7 +94,7 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("no `{name}` was reported");
+    panic!("no event `{name}` within the timeout");
 }
 
 #[test]
@@ -112,7 +112,7 @@
         let served = send(fleet.callers["hall-a-1"], beds).await;
         assert!(
             fleet.plains.values().all(|plain| plain.runs().len() == 1),
-            "the beds alone"
+            "only the call without a key runs"
         );
         insta::assert_snapshot!(golden(&fleet, &[refused, served]));
         fleet.close().await;
--- a/crates/reedsail_bench/tests/soak.rs
+++ b/crates/reedsail_bench/tests/soak.rs
@@ -1,10 +1,10 @@
-//! A short soak of the real programs, and every schedule that once failed.
+//! Runs a short soak of the real programs, and every schedule in `soak/regressions`.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the soak with the given words; returns what it printed, and whether it went well.
-fn soak(words: &[&str]) -> (String, bool) {
+/// Runs the soak with the given arguments. Returns its output, and whether it succeeded.
+fn soak(arguments: &[&str]) -> (String, bool) {
     let program = Path::new(env!("CARGO_BIN_EXE_reedsail-bench"));
     let router = program.with_file_name("reedsail-router");
     assert!(
@@ -15,22 +15,22 @@
     let kept = Path::new(env!("CARGO_TARGET_TMPDIR")).join("soak-failures");
     let output = Command::new(program)
         .arg("soak")
-        .args(words)
+        .args(arguments)
         .arg("--keep")
         .arg(&kept)
         .output()
         .unwrap();
-    let shown = format!(
+    let output_text = format!(
         "{}{}kept in {}",
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr),
         kept.display()
     );
-    (shown, output.status.success())
+    (output_text, output.status.success())
 }
 
-/// Returns the kept schedules that once failed.
-fn regressions() -> Vec<std::path::PathBuf> {
+/// Returns the stored schedules that failed earlier.
+fn regression_schedules() -> Vec<std::path::PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../soak/regressions");
     let entries = std::fs::read_dir(folder).into_iter().flatten();
     let mut files: Vec<_> = entries.map(|entry| entry.unwrap().path()).collect();
@@ -39,20 +39,20 @@
     files
 }
 
-/// How many schedules are played at once, so that a few dozen processes run.
-const AT_ONCE: usize = 3;
+/// The number of schedules that run concurrently. It limits the number of processes to a few dozen.
+const CONCURRENT_SCHEDULES_MAX: usize = 3;
 
 #[test]
-fn a_short_soak_and_every_schedule_that_once_failed_keep_the_promises() {
-    let (shown, is_clean) = soak(&["--untimed", "--seed", "1", "--for-s", "14", "--daemons", "3"]);
-    assert!(is_clean, "{shown}");
-    assert!(shown.contains("promises broken: 0"), "{shown}");
-    for files in regressions().chunks(AT_ONCE) {
+fn a_short_soak_and_every_regression_schedule_keep_the_promises() {
+    let (output_text, is_clean) = soak(&["--untimed", "--seed", "1", "--for-s", "14", "--daemons", "3"]);
+    assert!(is_clean, "{output_text}");
+    assert!(output_text.contains("promises broken: 0"), "{output_text}");
+    for files in regression_schedules().chunks(CONCURRENT_SCHEDULES_MAX) {
         std::thread::scope(|scope| {
             for file in files {
                 scope.spawn(move || {
-                    let (shown, is_clean) = soak(&["--untimed", "--replay", &file.to_string_lossy()]);
-                    assert!(is_clean, "{}: {shown}", file.display());
+                    let (output_text, is_clean) = soak(&["--untimed", "--replay", &file.to_string_lossy()]);
+                    assert!(is_clean, "{}: {output_text}", file.display());
                 });
             }
         });
--- a/crates/reedsail_bench/tests/stale_pages.rs
+++ b/crates/reedsail_bench/tests/stale_pages.rs
@@ -1,12 +1,12 @@
-//! The pages name only what the tree has: paths, links, and `snake_case` tests or `CONSTANTS` in back
-//! ticks. Incidents and findings speak of their own time and are left out.
+//! Checks that everything the pages name exists in the tree: paths, links, and `snake_case` tests or
+//! `CONSTANTS` in backticks. Incidents and findings describe past states and are skipped.
 
 use std::collections::BTreeSet;
 use std::path::Component;
 use std::path::Path;
 use std::path::PathBuf;
 
-/// Folders that paths in pages begin with.
+/// The first folders of the paths that are checked.
 const ROOTS: &[&str] = &[
     "crates/",
     "platform/",
@@ -16,14 +16,14 @@
     "soak/",
     "traces/",
 ];
-/// A name in lower case counts as one of the code from this many words on.
-const WORDS_MIN: usize = 4;
+/// A lower-case name with at least this many words is checked as a name in the code.
+const CODE_NAME_WORDS_MIN: usize = 4;
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Collects the files below a folder, relative to the root.
+/// Collects the files below a folder, as paths relative to the root.
 fn collect(folder: &Path, found: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(root().join(folder)).unwrap() {
         let entry = entry.unwrap();
@@ -56,19 +56,19 @@
     letter.is_ascii_alphanumeric() || "_./-".contains(letter)
 }
 
-/// Returns the paths that a line names.
+/// Returns the paths in a line.
 fn paths(line: &str) -> Vec<&str> {
     let words = line.split(|letter| !is_path_character(letter));
     words
         .filter_map(|word| {
-            let begin = ROOTS.iter().find(|begin| word.starts_with(**begin))?;
+            let root_folder = ROOTS.iter().find(|root_folder| word.starts_with(**root_folder))?;
             let path = word.trim_end_matches(['.', '-', '/']);
-            (path.len() > begin.len()).then_some(path)
+            (path.len() > root_folder.len()).then_some(path)
         })
         .collect()
 }
 
-/// Returns where the links of a line lead, as paths from the root.
+/// Returns the link targets in a line, as paths relative to the root.
 fn links(page: &str, line: &str) -> Vec<String> {
     let targets = line.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     targets
@@ -90,7 +90,8 @@
     parts.to_string_lossy().into_owned()
 }
 
-/// Returns the names in back ticks that look like tests or constants; a cut name ends with an ellipsis.
+/// Returns the names in backticks that look like tests or constants. An abbreviated name ends with an
+/// ellipsis.
 fn names(line: &str) -> Vec<&str> {
     let quoted = line.split('`').skip(1).step_by(2);
     quoted
@@ -108,11 +109,11 @@
 
 fn is_long_snake_case(name: &str) -> bool {
     let is_lower = |letter: char| letter.is_ascii_lowercase() || letter.is_ascii_digit() || letter == '_';
-    name.chars().all(is_lower) && name.split('_').count() >= WORDS_MIN
+    name.chars().all(is_lower) && name.split('_').count() >= CODE_NAME_WORDS_MIN
 }
 
 #[test]
-fn pages_name_only_what_there_is() {
+fn pages_name_only_existing_paths_and_names() {
     let tree = tree();
     let is_code = |path: &&String| {
         let endings = [".rs", ".toml", ".capnp", ".py", ".yaml", ".sh"];
@@ -126,18 +127,18 @@
     let is_page = |path: &&String| Path::new(path).extension().is_some_and(|ending| ending == "md");
     let is_dated = |path: &str| path.contains("incidents/") || path.ends_with("FINDINGS.md");
     let pages = tree.iter().filter(is_page).filter(|path| !is_dated(path));
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for page in pages {
         let text = std::fs::read_to_string(root().join(page)).unwrap();
         for (index, line) in text.lines().enumerate() {
             let place = format!("{page}:{}", index + 1);
             let missing = paths(line).into_iter().filter(|path| !exists(&tree, path));
-            faults.extend(missing.map(|path| format!("{place}: path {path}")));
+            violations.extend(missing.map(|path| format!("{place}: path {path}")));
             let broken = links(page, line).into_iter().filter(|link| !exists(&tree, link));
-            faults.extend(broken.map(|link| format!("{place}: link {link}")));
+            violations.extend(broken.map(|link| format!("{place}: link {link}")));
             let unknown = names(line).into_iter().filter(|name| !code.contains(name));
-            faults.extend(unknown.map(|name| format!("{place}: name {name}")));
+            violations.extend(unknown.map(|name| format!("{place}: name {name}")));
         }
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/crates/reedsail_bench/tests/style.rs
+++ b/crates/reedsail_bench/tests/style.rs
@@ -1,9 +1,9 @@
-//! What of the house style neither the formatter nor the linter checks.
+//! Checks the style rules that neither the formatter nor the linter covers.
 
 use std::path::Path;
 use std::path::PathBuf;
 
-/// Returns every source file but generated ones.
+/// Returns the path and text of every source file, except generated ones.
 fn sources() -> Vec<(PathBuf, String)> {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut found = Vec::new();
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn imports_stand_one_a_line_in_three_groups() {
-    let mut faults = Vec::new();
+fn imports_are_one_per_line_in_three_groups() {
+    let mut violations = Vec::new();
     for (path, text) in sources() {
         let mut modules: Vec<&str> = text
             .lines()
@@ -47,32 +47,40 @@
             .map(|rest| rest.trim_end_matches(';').trim_end_matches(" {"))
             .collect();
         modules.sort_unstable();
-        let mut last = 0;
+        let mut last_group = 0;
         for (index, line) in text.lines().enumerate() {
             if !line.starts_with("use ") {
                 continue;
             }
             if line.contains('{') || !line.ends_with(';') {
-                faults.push(format!("{}:{}: more than one import", path.display(), index + 1));
+                violations.push(format!(
+                    "{}:{}: more than one import; split it into one per line",
+                    path.display(),
+                    index + 1
+                ));
             }
-            let first = line
+            let first_segment = line
                 .trim_start_matches("use ")
                 .split(':')
                 .next()
                 .unwrap_or_default();
-            let is_own = modules.binary_search(&first).is_ok();
-            let group = if is_own { 2 } else { group_of(line) };
-            if group < last {
-                faults.push(format!("{}:{}: out of its group", path.display(), index + 1));
+            let is_own_module = modules.binary_search(&first_segment).is_ok();
+            let group = if is_own_module { 2 } else { group_of(line) };
+            if group < last_group {
+                violations.push(format!(
+                    "{}:{}: import is out of order; group std, external, own",
+                    path.display(),
+                    index + 1
+                ));
             }
-            last = group;
+            last_group = group;
         }
     }
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
-fn nothing_on_the_request_path_is_dynamic() {
+fn the_request_path_has_no_trait_objects() {
     for (path, text) in sources() {
         if path.to_string_lossy().contains("/traffic/") {
             assert!(!text.contains("dyn "), "{}", path.display());
@@ -81,7 +89,7 @@
 }
 
 #[test]
-fn every_module_says_what_it_is_for() {
+fn every_module_has_a_module_comment() {
     for (path, text) in sources() {
         assert!(
             text.starts_with("//!"),
@@ -92,13 +100,13 @@
 }
 
 #[test]
-fn no_source_file_grows_past_its_one_job() {
+fn no_source_file_exceeds_600_lines() {
     const LINES_MAX: usize = 600;
     for (path, text) in sources() {
         let lines = text.lines().count();
         assert!(
             lines <= LINES_MAX,
-            "{} has {lines} lines; split it by job",
+            "{} has {lines} lines; split it into modules",
             path.display()
         );
     }
--- a/crates/reedsail_bench/tests/traces.rs
+++ b/crates/reedsail_bench/tests/traces.rs
@@ -1,4 +1,4 @@
-//! The committed traces and fault scripts.
+//! Tests of the committed traces and fault scripts.
 
 use std::path::PathBuf;
 
@@ -6,14 +6,14 @@
 use reedsail_bench::Trace;
 use reedsail_bench::make_trace;
 
-fn traces() -> PathBuf {
+fn traces_folder() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces")
 }
 
 #[test]
-fn committed_traces_are_what_their_seed_makes() {
+fn committed_traces_match_their_generator() {
     for name in ["chatovna", "vatuwaqa"] {
-        let text = std::fs::read_to_string(traces().join(format!("{name}.jsonl"))).unwrap();
+        let text = std::fs::read_to_string(traces_folder().join(format!("{name}.jsonl"))).unwrap();
         let trace = Trace::parse(&text).unwrap();
         assert_eq!(trace, make_trace(name, trace.seed).unwrap(), "{name}");
     }
@@ -22,7 +22,7 @@
 #[test]
 fn committed_fault_scripts_are_readable() {
     let mut count = 0;
-    for entry in std::fs::read_dir(traces()).unwrap() {
+    for entry in std::fs::read_dir(traces_folder()).unwrap() {
         let path = entry.unwrap().path();
         if path.extension().is_some_and(|extension| extension == "yaml") {
             let text = std::fs::read_to_string(&path).unwrap();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_script_with_faults_of_its_own_is_refused() {
+fn an_invalid_fault_script_is_rejected() {
     let text = "faults:\n  - {at_ms: 5, fault: explode}\n  - {at_ms: 5, fault: cut, between: [one]}\n";
     let faults = FaultScript::read(text).unwrap_err();
     let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
