--- a/crates/reedsail_cli/src/admin_client.rs
+++ b/crates/reedsail_cli/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Asks a daemon's admin port.
+//! Client of an instance's admin port.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 
 use crate::failure::Failure;
 
-/// How long a daemon may take to answer.
-const LIMIT_MS: u64 = 5_000;
+/// Time limit for connecting to an instance, and for the whole exchange with it.
+const TIMEOUT_MS: u64 = 5_000;
 
-/// Gets a page of the admin port.
+/// Fetches a path of the admin port.
 pub(crate) async fn get(address: SocketAddr, path: &str) -> Result<(StatusCode, Bytes), Failure> {
     let unreachable = |error: &dyn std::fmt::Display| {
-        Failure::Unreachable(format!("no answer from the daemon at {address}: {error}"))
+        Failure::Unreachable(format!("no answer from the instance at {address}: {error}"))
     };
     let exchange = async {
-        let mut connection = HttpConnection::open(address, LIMIT_MS, ByteCounter::default())
+        let mut connection = HttpConnection::open(address, TIMEOUT_MS, ByteCounter::default())
             .await
             .map_err(|error| unreachable(&error))?;
         connection.ready().await;
@@ -45,26 +45,29 @@
             .map_err(|error| unreachable(&error))?;
         Ok((status, body.to_bytes()))
     };
-    match timeout(Duration::from_millis(LIMIT_MS), exchange).await {
+    match timeout(Duration::from_millis(TIMEOUT_MS), exchange).await {
         Ok(outcome) => outcome,
         Err(error) => Err(unreachable(&error)),
     }
 }
 
-/// Gets a daemon's status.
+/// Fetches an instance's status.
 pub(crate) async fn status(address: SocketAddr) -> Result<Status, Failure> {
     let (_, body) = get(address, "/status").await?;
-    serde_json::from_slice(&body)
-        .map_err(|error| Failure::Unreachable(format!("the answer of {address} is not readable: {error}")))
+    serde_json::from_slice(&body).map_err(|error| {
+        Failure::Unreachable(format!("invalid status from the instance at {address}: {error}"))
+    })
 }
 
-/// Gets the content of the bundle that a daemon has accepted; `None` if there is none yet.
+/// Fetches the content of the bundle that an instance has accepted, or `None` if it has no bundle yet.
 pub(crate) async fn bundle(address: SocketAddr) -> Result<Option<String>, Failure> {
     let (status, body) = get(address, "/bundle").await?;
     if status != StatusCode::OK {
         return Ok(None);
     }
-    String::from_utf8(body.to_vec())
-        .map(Some)
-        .map_err(|error| Failure::Unreachable(format!("the bundle of {address} is not a text: {error}")))
+    String::from_utf8(body.to_vec()).map(Some).map_err(|error| {
+        Failure::Unreachable(format!(
+            "the bundle of the instance at {address} is not valid UTF-8: {error}"
+        ))
+    })
 }
--- a/crates/reedsail_cli/src/bundle_command.rs
+++ b/crates/reedsail_cli/src/bundle_command.rs
@@ -13,9 +13,9 @@
 use crate::failure::write_file;
 use crate::table::render_table;
 
-/// A bundle to begin with; it passes the check.
+/// The example bundle. It passes `reedsail bundle check`.
 const TEMPLATE: &str = "\
-# A bundle says everything that operators decide. docs/BUNDLES.md explains each key.
+# A bundle contains every setting that operators choose. docs/BUNDLES.md explains each key.
 version: 1
 services:
   - name: assistant-llm
@@ -28,7 +28,7 @@
     kind: plain
     cost_unit: requests
     path_prefix: /booking/
-    calls:                 # the first rule that fits applies
+    calls:                 # the first matching rule applies
       - {method: POST, path_prefix: /booking/deposits, repeat: never, key: required}
     servers:
       - {name: booking-1, failure_domain: hall-a, address: '127.0.0.1:9101', slots: 32}
@@ -41,11 +41,11 @@
     limits: {queued_max: 1024}
 ";
 
-/// Writes a bundle to begin with, never over another.
+/// Writes the example bundle. Never overwrites a file.
 pub(crate) fn new(file: &Path) -> Result<(), Failure> {
     if file.exists() {
         return Err(Failure::Usage(format!(
-            "{} exists already; choose another name",
+            "{} already exists; choose another name",
             file.display()
         )));
     }
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Reads a bundle, or reports every fault.
+/// Reads a bundle, or returns a failure that lists every fault.
 pub(crate) fn read_checked(file: &Path) -> Result<(String, Bundle), Failure> {
     let text = read_file(file)?;
     match read_bundle(&text) {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Checks a bundle.
+/// Checks a bundle and prints the result.
 pub(crate) fn check(file: &Path, as_json: bool) -> Result<(), Failure> {
     if as_json {
         let faults = read_bundle(&read_file(file)?).err().unwrap_or_default();
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// Lists what changes from one bundle to another.
+/// Lists the changes from one bundle to another.
 pub(crate) fn diff(base: &Path, file: &Path, as_json: bool) -> Result<(), Failure> {
     let (_, base) = read_checked(base)?;
     let (_, next) = read_checked(file)?;
--- a/crates/reedsail_cli/src/event_fields.rs
+++ b/crates/reedsail_cli/src/event_fields.rs
@@ -1,13 +1,13 @@
-//! The fields of an event, by name.
+//! Access to the fields of an event by name.
 
 use reedsail_events::Event;
 
-/// Returns a field as text; empty if the event has none of that name.
+/// Returns a field as text, or an empty string if the event has no field of that name.
 pub(crate) fn text(event: &Event, name: &str) -> String {
     event.fields.get(name).cloned().unwrap_or_default()
 }
 
-/// Reads a number; a field such as `none` or `direct` has none.
+/// Returns a field as a number, or `None` if it is missing or a word such as `none` or `direct`.
 pub(crate) fn number(event: &Event, name: &str) -> Option<u64> {
     event.fields.get(name)?.parse().ok()
 }
--- a/crates/reedsail_cli/src/failure.rs
+++ b/crates/reedsail_cli/src/failure.rs
@@ -1,24 +1,24 @@
-//! How a command fails, and the exit code that says so.
+//! Failures of a command and their exit codes.
 
 use std::fmt;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// The bundle has faults, or its signatures are not in order.
+    /// The bundle has faults or was refused, or its signatures are missing or invalid.
     Refused(String),
-    /// A file cannot be read or written, or the flags do not fit.
+    /// A file cannot be read or written, or the flags are invalid.
     Usage(String),
-    /// The base is not the version in force, or a rival came first.
+    /// The base is not the version in force, or a concurrent bundle was published first.
     Stale(String),
-    /// The platform or a daemon cannot be reached.
+    /// The platform or an instance cannot be reached.
     Unreachable(String),
 }
 
 impl Failure {
-    /// Returns the documented exit code.
+    /// Returns the exit code that the help text documents.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Refused(_) => 1,
@@ -28,9 +28,9 @@
         })
     }
 
-    /// Names the file that could not be read or written.
-    pub(crate) fn file(what: &str, file: &Path, error: &dyn fmt::Display) -> Self {
-        Self::Usage(format!("cannot {what} {}: {error}", file.display()))
+    /// Returns a failure to read or write `file`.
+    pub(crate) fn for_file(operation: &str, file: &Path, error: &dyn fmt::Display) -> Self {
+        Self::Usage(format!("cannot {operation} {}: {error}", file.display()))
     }
 }
 
@@ -43,10 +43,10 @@
 
 /// Reads a text file.
 pub(crate) fn read_file(file: &Path) -> Result<String, Failure> {
-    std::fs::read_to_string(file).map_err(|error| Failure::file("read", file, &error))
+    std::fs::read_to_string(file).map_err(|error| Failure::for_file("read", file, &error))
 }
 
 /// Writes a text file.
 pub(crate) fn write_file(file: &Path, text: &str) -> Result<(), Failure> {
-    std::fs::write(file, text).map_err(|error| Failure::file("write", file, &error))
+    std::fs::write(file, text).map_err(|error| Failure::for_file("write", file, &error))
 }
--- a/crates/reedsail_cli/src/flags.rs
+++ b/crates/reedsail_cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! The flags of each command.
+//! Command-line flags of each command.
 
 pub(crate) mod bundle;
 pub(crate) mod fleet;
--- a/crates/reedsail_cli/src/flags/bundle.rs
+++ b/crates/reedsail_cli/src/flags/bundle.rs
@@ -11,11 +11,11 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Makes, checks, signs and publishes bundles.
+    /// Creates, checks, signs and publishes bundles.
     cmd bundle {
-        /// Writes a small bundle to begin with.
+        /// Writes a small example bundle.
         cmd new {
-            /// Where to write it.
+            /// The new file for the bundle.
             required file: PathBuf
         }
         /// Checks a bundle and lists every fault.
@@ -25,11 +25,11 @@
             /// Prints JSON.
             optional --json
         }
-        /// Lists what changes from one bundle to another.
+        /// Lists the changes from one bundle to another.
         cmd diff {
             /// The bundle in force.
             required base: PathBuf
-            /// Its successor.
+            /// The bundle that replaces it.
             required file: PathBuf
             /// Prints JSON.
             optional --json
@@ -40,30 +40,30 @@
             required file: PathBuf
             /// The author's key file.
             required --key key: PathBuf
-            /// The admin address of a daemon that has the base in force.
+            /// The admin address of an instance on which the base version is in force.
             optional --daemon address: SocketAddr
-            /// The bundle is the fleet's first.
+            /// Signs the fleet's first bundle, which has no base version.
             optional --first
         }
-        /// Signs a bundle off as its approver.
+        /// Approves and signs a bundle as its approver.
         cmd approve {
             /// The bundle.
             required file: PathBuf
             /// The approver's key file.
             required --key key: PathBuf
         }
-        /// Publishes a signed and approved bundle, and waits for what becomes of it.
+        /// Publishes a signed and approved bundle, and waits until it is in force.
         cmd publish {
             /// The bundle.
             required file: PathBuf
             /// The platform's address.
             required --platform address: SocketAddr
-            /// The admin address of a daemon.
+            /// The admin address of an instance.
             required --daemon address: SocketAddr
         }
-        /// Shows which version is in force on each daemon.
+        /// Shows which version is in force on each instance.
         cmd status {
-            /// The admin address of a daemon; may be given more than once.
+            /// The admin address of an instance; may be given more than once.
             repeated --daemon address: SocketAddr
             /// Prints JSON.
             optional --json
--- a/crates/reedsail_cli/src/flags/fleet.rs
+++ b/crates/reedsail_cli/src/flags/fleet.rs
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 
 xflags::xflags! {
-    /// Looks at the fleet.
+    /// Shows the state of the fleet.
     cmd fleet {
-        /// Shows each daemon's stage, version, slots and queues.
+        /// Shows each instance's stage, bundle version, slots and queues.
         cmd status {
-            /// The admin address of a daemon; may be given more than once.
+            /// The admin address of an instance; may be given more than once.
             repeated --daemon address: SocketAddr
             /// Prints JSON.
             optional --json
--- a/crates/reedsail_cli/src/flags/keys.rs
+++ b/crates/reedsail_cli/src/flags/keys.rs
@@ -10,13 +10,13 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Makes keys for authors and approvers.
+    /// Creates keys for authors and approvers.
     cmd keys {
-        /// Makes a key, and prints what the daemons' settings need of it.
+        /// Creates a key, and prints its `trusted_keys` entry for the settings of the instances.
         cmd new {
             /// The person's name.
             required --name name: String
-            /// Where to write the secret key.
+            /// The new file for the secret key.
             required --out file: PathBuf
         }
     }
--- a/crates/reedsail_cli/src/flags/requests.rs
+++ b/crates/reedsail_cli/src/flags/requests.rs
@@ -10,11 +10,11 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Counts what became of the requests in routers' log lines, or follows one of them.
+    /// Counts request outcomes in router logs, or prints the events of one request.
     cmd requests {
-        /// A file with log lines; may be given more than once.
+        /// A log file of a router; may be given more than once.
         repeated file: PathBuf
-        /// Prints every line about the request with this id, in order.
+        /// Prints every event of the request with this id, in order.
         optional --request id: String
     }
 }
--- a/crates/reedsail_cli/src/flags/timeline.rs
+++ b/crates/reedsail_cli/src/flags/timeline.rs
@@ -11,15 +11,15 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Merges the events of several daemons into one order.
+    /// Merges the events of several instances into one timeline.
     cmd timeline {
-        /// A file with events, one a line; may be given more than once.
+        /// A file with one event per line; may be given more than once.
         repeated file: PathBuf
-        /// The admin address of a daemon; may be given more than once.
+        /// The admin address of an instance; may be given more than once.
         repeated --daemon address: SocketAddr
-        /// Prints JSON, one event a line.
+        /// Prints JSON, one event per line.
         optional --json
-        /// Writes a trace for a browser's trace viewer.
+        /// Writes a trace file in Chrome's trace event format.
         optional --chrome out: PathBuf
     }
 }
--- a/crates/reedsail_cli/src/fleet_command.rs
+++ b/crates/reedsail_cli/src/fleet_command.rs
@@ -9,12 +9,12 @@
 use crate::failure::Failure;
 use crate::table::render_table;
 
-/// Shows each daemon's stage, version, slots and queues.
-pub(crate) async fn fleet_status(daemons: &[SocketAddr], as_json: bool) -> Result<(), Failure> {
-    let (statuses, silent) = ask_all(daemons).await?;
+/// Shows each instance's stage, bundle version, slots and queues.
+pub(crate) async fn fleet_status(addresses: &[SocketAddr], as_json: bool) -> Result<(), Failure> {
+    let (statuses, unreachable) = fetch_statuses(addresses).await?;
     if as_json {
-        println!("{}", json!({ "daemons": statuses, "silent": silent }));
-        return end(&silent);
+        println!("{}", json!({ "daemons": statuses, "silent": unreachable }));
+        return require_all_reachable(&unreachable);
     }
     let mut rows = Vec::new();
     for status in &statuses {
@@ -44,12 +44,12 @@
         "slots used/leased",
     ];
     println!("{}", render_table(&header, &rows));
-    end(&silent)
+    require_all_reachable(&unreachable)
 }
 
-/// Shows which version is in force on each daemon.
-pub(crate) async fn bundle_status(daemons: &[SocketAddr], as_json: bool) -> Result<(), Failure> {
-    let (statuses, silent) = ask_all(daemons).await?;
+/// Shows which version is in force on each instance.
+pub(crate) async fn bundle_status(addresses: &[SocketAddr], as_json: bool) -> Result<(), Failure> {
+    let (statuses, unreachable) = fetch_statuses(addresses).await?;
     if as_json {
         let rows: Vec<_> = statuses
             .iter()
@@ -61,8 +61,8 @@
                 })
             })
             .collect();
-        println!("{}", json!({ "daemons": rows, "silent": silent }));
-        return end(&silent);
+        println!("{}", json!({ "daemons": rows, "silent": unreachable }));
+        return require_all_reachable(&unreachable);
     }
     let rows: Vec<Vec<String>> = statuses
         .iter()
@@ -72,33 +72,34 @@
         })
         .collect();
     println!("{}", render_table(&["instance", "version", "digest"], &rows));
-    end(&silent)
+    require_all_reachable(&unreachable)
 }
 
-/// Asks every daemon; one that is silent does not hide the others.
-async fn ask_all(daemons: &[SocketAddr]) -> Result<(Vec<Status>, Vec<String>), Failure> {
-    if daemons.is_empty() {
+/// Fetches the status of every instance. Returns the addresses of unreachable instances separately, so
+/// that one unreachable instance does not hide the others.
+async fn fetch_statuses(addresses: &[SocketAddr]) -> Result<(Vec<Status>, Vec<String>), Failure> {
+    if addresses.is_empty() {
         return Err(Failure::Usage(
-            "name at least one daemon with --daemon".to_owned(),
+            "give the admin address of at least one instance with --daemon".to_owned(),
         ));
     }
     let mut statuses = Vec::new();
-    let mut silent = Vec::new();
-    for daemon in daemons {
-        match admin_client::status(*daemon).await {
+    let mut unreachable = Vec::new();
+    for address in addresses {
+        match admin_client::status(*address).await {
             Ok(status) => statuses.push(status),
-            Err(_) => silent.push(daemon.to_string()),
+            Err(_) => unreachable.push(address.to_string()),
         }
     }
-    Ok((statuses, silent))
+    Ok((statuses, unreachable))
 }
 
-fn end(silent: &[String]) -> Result<(), Failure> {
-    if silent.is_empty() {
+fn require_all_reachable(unreachable: &[String]) -> Result<(), Failure> {
+    if unreachable.is_empty() {
         return Ok(());
     }
     Err(Failure::Unreachable(format!(
         "no answer from {}",
-        silent.join(", ")
+        unreachable.join(", ")
     )))
 }
--- a/crates/reedsail_cli/src/key_file.rs
+++ b/crates/reedsail_cli/src/key_file.rs
@@ -1,4 +1,4 @@
-//! A person's secret key in a file of their own.
+//! The file that holds a person's secret key.
 
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
@@ -21,20 +21,23 @@
     /// Reads a key file.
     pub(crate) fn read(file: &Path) -> Result<Self, Failure> {
         let text = read_file(file)?;
-        let read = read_document(&text, |top| {
+        let document = read_document(&text, |top| {
             let name = top.required("name").and_then(|value| value.name());
             let secret = top.required("secret").and_then(|value| value.hex::<32>());
             Some((name?, secret?))
         });
-        let (name, secret) = read.map_err(|faults| {
+        let (name, secret) = document.map_err(|faults| {
             let shown = file.display();
-            Failure::Usage(format!("{shown} is no key file:\n{}", render_faults(&faults)))
+            Failure::Usage(format!(
+                "{shown} is not a valid key file:\n{}",
+                render_faults(&faults)
+            ))
         })?;
         let key = SecretKey::from_bytes(secret);
         Ok(Self { name, key })
     }
 
-    /// Writes a new key file that only its owner can read; never over another.
+    /// Writes a new key file that only its owner can read. Never overwrites a file.
     pub(crate) fn write_new(&self, file: &Path) -> Result<(), Failure> {
         let mut options = std::fs::OpenOptions::new();
         options.write(true).create_new(true).mode(0o600);
@@ -46,6 +49,6 @@
         options
             .open(file)
             .and_then(|mut opened| opened.write_all(text.as_bytes()))
-            .map_err(|error| Failure::file("write", file, &error))
+            .map_err(|error| Failure::for_file("write", file, &error))
     }
 }
--- a/crates/reedsail_cli/src/log_lines.rs
+++ b/crates/reedsail_cli/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Reads events from log lines and from files of events.
+//! Parses events from log files and event files.
 
 use std::path::Path;
 
@@ -9,11 +9,11 @@
 
 /// Reads the events of a file.
 pub(crate) fn read_events(file: &Path) -> Result<LogEvents, Failure> {
-    Ok(LogEvents::of(&read_file(file)?, &file.display().to_string()))
+    Ok(LogEvents::parse(&read_file(file)?, &file.display().to_string()))
 }
 
-/// The events of a text, and the lines that look like one and cannot be read: a log that is cut off, or
-/// written by two processes, has some.
+/// The parsed events of a text, and the errors of lines that look like an event but are invalid. Such lines
+/// occur in a truncated log, or in one that two processes wrote.
 #[derive(Debug, Default)]
 pub(crate) struct LogEvents {
     pub(crate) events: Vec<Event>,
@@ -21,24 +21,26 @@
 }
 
 impl LogEvents {
-    /// Reads a text; lines without an event are passed over.
-    pub(crate) fn of(text: &str, source: &str) -> Self {
-        let mut read = Self::default();
+    /// Parses a text. Lines without an event are skipped.
+    pub(crate) fn parse(text: &str, source: &str) -> Self {
+        let mut parsed = Self::default();
         for (index, line) in text.lines().enumerate() {
-            // Log files have a prefix before the event.
+            // Lines of log files have a prefix before the event.
             let Some(start) = line.find("{\"clock\"") else {
                 continue;
             };
             match Event::parse(&line[start..]) {
-                Ok(event) => read.events.push(event),
-                Err(error) => read.faults.push(format!("{source}, line {}: {error}", index + 1)),
+                Ok(event) => parsed.events.push(event),
+                Err(error) => parsed
+                    .faults
+                    .push(format!("{source}, line {}: {error}", index + 1)),
             }
         }
-        read
+        parsed
     }
 
-    /// Returns the events if every line could be read.
-    pub(crate) fn complete(self) -> Result<Vec<Event>, Failure> {
+    /// Returns the events, or an error if any line is invalid.
+    pub(crate) fn require_complete(self) -> Result<Vec<Event>, Failure> {
         match self.faults.into_iter().next() {
             Some(fault) => Err(Failure::Usage(fault)),
             None => Ok(self.events),
--- a/crates/reedsail_cli/src/main.rs
+++ b/crates/reedsail_cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `reedsail`: what operators do with bundles, keys, the fleet's status and its time line.
+//! `reedsail`: the operators' command-line tool for bundles, keys, the fleet's status and its timeline.
 
 mod admin_client;
 mod bundle_command;
@@ -32,17 +32,17 @@
 use flags::timeline::Timeline;
 
 const HELP: &str = "\
-reedsail: operates a router fleet; every change is a signed bundle, rolled forward
+reedsail: operates a router fleet; every change is a signed bundle with the next version number
 
-  reedsail bundle    makes, checks, signs, publishes bundles; shows which is in force
-  reedsail fleet     looks at the fleet
-  reedsail timeline  merges the events of several daemons into one order
-  reedsail requests  counts what became of requests in routers' log lines, or follows one
-  reedsail keys      makes keys for authors and approvers
+  reedsail bundle    creates, checks, signs and publishes bundles; shows which is in force
+  reedsail fleet     shows the state of the fleet
+  reedsail timeline  merges the events of several instances into one timeline
+  reedsail requests  counts request outcomes in router logs, or prints one request's events
+  reedsail keys      creates keys for authors and approvers
 
-`reedsail COMMAND --help` tells more.
-Exit codes: 0 done; 1 the bundle has faults or was refused; 2 wrong use; 3 the base is
-not the version in force; 4 the platform or a daemon cannot be reached.";
+Run `reedsail COMMAND --help` for details.
+Exit codes: 0 success; 1 the bundle has faults or was refused; 2 invalid usage; 3 the base
+is not the version in force; 4 the platform or an instance cannot be reached.";
 
 fn main() -> ExitCode {
     let mut arguments = std::env::args_os().skip(1);
@@ -66,13 +66,13 @@
 
 async fn run(command: &OsStr, rest: Vec<OsString>) -> Result<(), Failure> {
     match command.to_str() {
-        Some("bundle") => run_bundle(parsed(Bundle::from_vec(rest))).await,
-        Some("fleet") => match parsed(Fleet::from_vec(rest)).subcommand {
+        Some("bundle") => run_bundle(parse_or_exit(Bundle::from_vec(rest))).await,
+        Some("fleet") => match parse_or_exit(Fleet::from_vec(rest)).subcommand {
             FleetCmd::Status(status) => fleet_command::fleet_status(&status.daemon, status.json).await,
         },
-        Some("timeline") => timeline_command::run(&parsed(Timeline::from_vec(rest))).await,
-        Some("requests") => requests_command::run(&parsed(Requests::from_vec(rest))),
-        Some("keys") => match parsed(Keys::from_vec(rest)).subcommand {
+        Some("timeline") => timeline_command::run(&parse_or_exit(Timeline::from_vec(rest))).await,
+        Some("requests") => requests_command::run(&parse_or_exit(Requests::from_vec(rest))),
+        Some("keys") => match parse_or_exit(Keys::from_vec(rest)).subcommand {
             KeysCmd::New(new) => keys_command::new(&new.name, &new.out),
         },
         Some("" | "help" | "--help" | "-h") => {
@@ -80,7 +80,7 @@
             Ok(())
         }
         _ => Err(Failure::Usage(format!(
-            "`{}` is no command\n\n{HELP}",
+            "unknown command `{}`\n\n{HELP}",
             command.display()
         ))),
     }
@@ -100,7 +100,8 @@
     }
 }
 
-/// Ends the program with a message, or the help that was asked for, where the flags do not parse.
-fn parsed<T>(flags: xflags::Result<T>) -> T {
+/// Returns the parsed flags. Exits with a message if they are invalid, or with the help text if it was
+/// requested.
+fn parse_or_exit<T>(flags: xflags::Result<T>) -> T {
     flags.unwrap_or_else(|error| error.exit())
 }
--- a/crates/reedsail_cli/src/publish_command.rs
+++ b/crates/reedsail_cli/src/publish_command.rs
@@ -23,33 +23,33 @@
 use crate::signed_file::signed_path;
 use crate::signed_file::write_signed;
 
-/// The stream of bundle records.
+/// The log stream that holds the bundle records.
 const BUNDLE_STREAM: &str = "bundles";
-/// How long a call to the platform may take.
-const CALL_LIMIT_MS: u64 = 5_000;
-/// How long a published bundle is waited for.
-const IN_FORCE_LIMIT_MS: u64 = 30_000;
-/// How often an append is tried.
-const TRIES_MAX: usize = 5;
+/// Time limit for a call to the platform.
+const CALL_TIMEOUT_MS: u64 = 5_000;
+/// Time limit for a published bundle to come into force.
+const IN_FORCE_TIMEOUT_MS: u64 = 30_000;
+/// Maximum number of attempts to append a record.
+const ATTEMPTS_MAX: usize = 5;
 
 /// Signs a bundle as its author.
 pub(crate) async fn sign(
     file: &Path,
     key: &Path,
-    daemon: Option<SocketAddr>,
-    first: bool,
+    admin_address: Option<SocketAddr>,
+    is_first: bool,
 ) -> Result<(), Failure> {
     let (text, bundle) = read_checked(file)?;
     let author = KeyFile::read(key)?;
-    let base = match (daemon, first) {
-        (Some(daemon), false) => Some(fetch_base(daemon).await?),
+    let base = match (admin_address, is_first) {
+        (Some(admin_address), false) => Some(fetch_base(admin_address).await?),
         (None, true) => None,
         _ => return Err(Failure::Usage("give either --daemon or --first".to_owned())),
     };
     let base_version = base.as_ref().map_or(0, |(version, _)| *version);
     if bundle.version != base_version + 1 {
         return Err(Failure::Stale(format!(
-            "{} calls itself version {}, but version {base_version} is in force; write `version: {}`",
+            "{} has version {}, but version {base_version} is in force; write `version: {}`",
             file.display(),
             bundle.version,
             base_version + 1
@@ -66,21 +66,21 @@
     Ok(())
 }
 
-async fn fetch_base(daemon: SocketAddr) -> Result<(u32, String), Failure> {
-    let Some(text) = admin_client::bundle(daemon).await? else {
+async fn fetch_base(admin_address: SocketAddr) -> Result<(u32, String), Failure> {
+    let Some(text) = admin_client::bundle(admin_address).await? else {
         return Err(Failure::Stale(format!(
-            "the daemon at {daemon} has no bundle; sign the fleet's first with --first"
+            "the instance at {admin_address} has no bundle; sign the fleet's first bundle with --first"
         )));
     };
     let bundle = read_bundle(&text).map_err(|_| {
         Failure::Unreachable(format!(
-            "the bundle of the daemon at {daemon} is not readable by this tool"
+            "this tool cannot read the bundle of the instance at {admin_address}"
         ))
     })?;
     Ok((bundle.version, text))
 }
 
-/// Signs a bundle off as its approver.
+/// Approves and signs a bundle as its approver.
 pub(crate) fn approve(file: &Path, key: &Path) -> Result<(), Failure> {
     let (text, _) = read_checked(file)?;
     let mut head = read_signed(file, &text)?;
@@ -101,8 +101,12 @@
     Ok(())
 }
 
-/// Publishes a bundle and waits for what becomes of it.
-pub(crate) async fn publish(file: &Path, platform: SocketAddr, daemon: SocketAddr) -> Result<(), Failure> {
+/// Publishes a bundle and waits until it is in force.
+pub(crate) async fn publish(
+    file: &Path,
+    platform: SocketAddr,
+    admin_address: SocketAddr,
+) -> Result<(), Failure> {
     let (text, bundle) = read_checked(file)?;
     let head = read_signed(file, &text)?;
     if head.approver.is_none() {
@@ -111,11 +115,11 @@
             file.display()
         )));
     }
-    let base = admin_client::bundle(daemon).await?;
+    let base = admin_client::bundle(admin_address).await?;
     let base_digest = base.as_deref().map_or([0; 32], digest_of);
     if hex::encode(base_digest) != head.base_digest {
         return Err(Failure::Stale(
-            "another version came into force since the bundle was signed; make it anew on that one"
+            "another version came into force since the bundle was signed; recreate the bundle on that version"
                 .to_owned(),
         ));
     }
@@ -123,26 +127,26 @@
     let client = PlatformClient::new(
         platform,
         "operator",
-        CALL_LIMIT_MS,
+        CALL_TIMEOUT_MS,
         ByteCounter::default(),
         NetGate::default(),
     );
-    append_once(&client, &record).await?;
+    append_with_retries(&client, &record).await?;
     println!("version {} is in the log", bundle.version);
-    wait_in_force(daemon, bundle.version, &hex::encode(digest_of(&text))).await
+    wait_in_force(admin_address, bundle.version, &hex::encode(digest_of(&text))).await
 }
 
-/// Appends a record. After a lost answer it looks for the record before it tries again; a second
-/// copy would do no harm, but would cost an append.
-async fn append_once(client: &PlatformClient, record: &BundleRecord) -> Result<(), Failure> {
+/// Appends a record. After a lost answer it searches the log for the record before it retries. A second
+/// copy would be harmless, but would cost an append.
+async fn append_with_retries(client: &PlatformClient, record: &BundleRecord) -> Result<(), Failure> {
     let bytes = record.to_bytes();
-    let mut last = String::new();
-    for _ in 0..TRIES_MAX {
+    let mut last_error = String::new();
+    for _ in 0..ATTEMPTS_MAX {
         match client.append(BUNDLE_STREAM, bytes.clone()).await {
             Ok(_) => return Ok(()),
             Err(error) => {
-                last = error.to_string();
-                if error.may_have_taken_effect() && stands_in_log(client, record.id).await {
+                last_error = error.to_string();
+                if error.may_have_taken_effect() && is_in_log(client, record.id).await {
                     return Ok(());
                 }
             }
@@ -150,15 +154,15 @@
         sleep(Duration::from_millis(300)).await;
     }
     Err(Failure::Unreachable(format!(
-        "the bundle may not be in the log: {last}"
+        "the bundle may not be in the log: {last_error}"
     )))
 }
 
-async fn stands_in_log(client: &PlatformClient, id: Uuid) -> bool {
+async fn is_in_log(client: &PlatformClient, id: Uuid) -> bool {
     let mut from = 0;
     while let Ok(page) = client.read(BUNDLE_STREAM, from, 0).await {
-        let found = |data: &[u8]| BundleRecord::parse(data).is_ok_and(|record| record.id == id);
-        if page.records.iter().any(|record| found(&record.data)) {
+        let is_match = |data: &[u8]| BundleRecord::parse(data).is_ok_and(|record| record.id == id);
+        if page.records.iter().any(|record| is_match(&record.data)) {
             return true;
         }
         from = match page.records.last() {
@@ -169,14 +173,14 @@
     false
 }
 
-async fn wait_in_force(daemon: SocketAddr, version: u32, digest: &str) -> Result<(), Failure> {
-    let deadline = Instant::now() + Duration::from_millis(IN_FORCE_LIMIT_MS);
+async fn wait_in_force(admin_address: SocketAddr, version: u32, digest: &str) -> Result<(), Failure> {
+    let deadline = Instant::now() + Duration::from_millis(IN_FORCE_TIMEOUT_MS);
     while Instant::now() < deadline {
-        let status = admin_client::status(daemon).await?;
+        let status = admin_client::status(admin_address).await?;
         if status.bundle_version >= version {
             if status.bundle_version == version && status.bundle_digest != digest {
                 return Err(Failure::Stale(format!(
-                    "another bundle came first as version {version}; make this one anew on it"
+                    "another bundle was published first as version {version}; recreate this one on it"
                 )));
             }
             println!("version {version} is in force on {}", status.instance);
@@ -185,7 +189,7 @@
         sleep(Duration::from_millis(50)).await;
     }
     Err(Failure::Refused(format!(
-        "version {version} is in the log but not in force on the daemon at {daemon}; \
-         look for bundle events in `reedsail timeline --daemon {daemon}`"
+        "version {version} is in the log but not in force on the instance at {admin_address}; \
+         check the bundle events in `reedsail timeline --daemon {admin_address}`"
     )))
 }
--- a/crates/reedsail_cli/src/request_summary.rs
+++ b/crates/reedsail_cli/src/request_summary.rs
@@ -1,8 +1,8 @@
-//! What became of requests, by the events of one or more routers: by reason, by server, by second, and how
-//! the expected times compare with the measured ones.
+//! Counts request outcomes from the events of one or more routers by reason, by server and by second, and
+//! compares the measured times with the expected ones.
 //!
-//! Pure: relies on the caller for the events. A log that left lines out says how many, and so does the
-//! summary: its counts are then of the lines that were written.
+//! Does no I/O: the caller passes the events. A log that left lines out records how many, and the summary
+//! reports that number. Its counts then cover only the lines that were written.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,34 +23,34 @@
     pub(crate) retried: u64,
 }
 
-/// How a ratio is spread: its lowest tenth, middle and highest tenth.
+/// The 10th, 50th and 90th percentile of some values.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Spread {
+pub(crate) struct Percentiles {
     pub(crate) count: usize,
-    pub(crate) low: f64,
-    pub(crate) middle: f64,
-    pub(crate) high: f64,
+    pub(crate) p10: f64,
+    pub(crate) p50: f64,
+    pub(crate) p90: f64,
 }
 
-/// The summary of some events.
+/// Request counts and times of some events.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestSummary {
-    /// Ends of requests by their reason: an outcome, or an error kind.
+    /// Number of ended requests by reason: an outcome or an error kind.
     pub(crate) reasons: BTreeMap<String, u64>,
     pub(crate) servers: BTreeMap<String, RequestCounts>,
-    /// By the second of the wall clock, counted from the first event.
+    /// Counts by second of wall-clock time since the first event.
     pub(crate) seconds: BTreeMap<u64, RequestCounts>,
-    /// Measured by expected times to the first event.
+    /// Ratios of the measured to the expected time to the first event.
     pub(crate) ratios: Vec<f64>,
-    /// Ages of the load that servers were chosen by, in milliseconds.
+    /// Ages of the load reports by which servers were chosen, in milliseconds.
     pub(crate) load_ages_ms: Vec<f64>,
-    /// Lines that the logs left out.
+    /// Number of lines that the logs left out.
     pub(crate) left_out: u64,
 }
 
 impl RequestSummary {
-    /// Sums events up.
-    pub(crate) fn of(events: &[Event]) -> Self {
+    /// Builds the summary of the events.
+    pub(crate) fn from_events(events: &[Event]) -> Self {
         let mut summary = Self::default();
         let first_ms = events.iter().map(|event| event.unix_ms).min().unwrap_or(0);
         let mut expected_ms = HashMap::new();
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Compares the times of requests that were placed once: of others the first event came after more than
-    /// one attempt.
+    /// Compares the measured with the expected time of requests that were placed once. Other requests are
+    /// excluded, as their first event arrived after more than one attempt.
     fn compare_times(&mut self, event: &Event, expected_ms: &mut HashMap<String, Option<u64>>) {
         let request = text(event, "request");
         if event.number == EventKind::RequestPlaced.number() {
             let expected = number(event, "expected_ms");
             expected_ms
                 .entry(request)
-                .and_modify(|known| *known = None)
+                .and_modify(|previous| *previous = None)
                 .or_insert(expected);
             if let Some(age_ms) = number(event, "load_age_ms") {
                 self.load_ages_ms.push(age_ms as f64);
@@ -119,15 +119,15 @@
     }
 }
 
-/// Returns how values are spread; `None` if there are none.
-pub(crate) fn spread(values: &[f64]) -> Option<Spread> {
+/// Returns the percentiles of the values, or `None` if there are no values.
+pub(crate) fn percentiles(values: &[f64]) -> Option<Percentiles> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let at = |part: f64| sorted[((sorted.len() - 1) as f64 * part).round() as usize];
-    (!sorted.is_empty()).then(|| Spread {
+    let quantile = |fraction: f64| sorted[((sorted.len() - 1) as f64 * fraction).round() as usize];
+    (!sorted.is_empty()).then(|| Percentiles {
         count: sorted.len(),
-        low: at(0.1),
-        middle: at(0.5),
-        high: at(0.9),
+        p10: quantile(0.1),
+        p50: quantile(0.5),
+        p90: quantile(0.9),
     })
 }
--- a/crates/reedsail_cli/src/requests_command.rs
+++ b/crates/reedsail_cli/src/requests_command.rs
@@ -10,41 +10,41 @@
 use crate::log_lines::read_events;
 use crate::request_summary::RequestCounts;
 use crate::request_summary::RequestSummary;
-use crate::request_summary::spread;
+use crate::request_summary::percentiles;
 use crate::table::render_table;
 use crate::workspace_summary::WorkspaceSummary;
 
-/// Servers that the summary shows, those with the most failures first.
-const SERVERS_SHOWN: usize = 20;
+/// Maximum number of servers in the summary. Servers with the most failures come first.
+const SERVERS_SHOWN_MAX: usize = 20;
 
-/// Counts what became of the requests in log files, or follows one of them.
+/// Counts request outcomes in log files, or prints the events of one request.
 pub(crate) fn run(flags: &Requests) -> Result<(), Failure> {
     let mut events = Vec::new();
     for file in &flags.file {
         let read = read_events(file)?;
         if let Some(first) = read.faults.first() {
             let count = read.faults.len();
-            eprintln!("reedsail: {count} lines cannot be read and do not count; the first is {first}");
+            eprintln!("reedsail: {count} lines are invalid and were skipped; first error: {first}");
         }
         events.extend(read.events);
     }
     if events.is_empty() {
-        let text = "no event in the files; give files with a router's log lines";
+        let text = "no events in the files; give log files of a router";
         return Err(Failure::Usage(text.to_owned()));
     }
     if let Some(id) = &flags.request {
-        return follow(events, id);
+        return print_request(events, id);
     }
-    summarise(&events);
+    print_summary(&events);
     Ok(())
 }
 
-/// Prints every line about one request.
-fn follow(mut events: Vec<Event>, id: &str) -> Result<(), Failure> {
+/// Prints every event of one request.
+fn print_request(mut events: Vec<Event>, id: &str) -> Result<(), Failure> {
     events.retain(|event| event.fields.get("request").is_some_and(|request| request == id));
     if events.is_empty() {
         let text =
-            format!("no line names the request `{id}`: it was not logged, or came by another instance");
+            format!("no event of request `{id}` found: it was not logged, or another instance handled it");
         return Err(Failure::Usage(text));
     }
     for event in merge_events(events) {
@@ -53,8 +53,8 @@
     Ok(())
 }
 
-fn summarise(events: &[Event]) {
-    let summary = RequestSummary::of(events);
+fn print_summary(events: &[Event]) {
+    let summary = RequestSummary::from_events(events);
     let ends: u64 = summary.reasons.values().sum();
     let reasons: Vec<Vec<String>> = summary
         .reasons
@@ -68,7 +68,7 @@
 
     let mut servers: Vec<(&String, &RequestCounts)> = summary.servers.iter().collect();
     servers.sort_by_key(|(_, counts)| std::cmp::Reverse(counts.failed));
-    servers.truncate(SERVERS_SHOWN);
+    servers.truncate(SERVERS_SHOWN_MAX);
     let servers: Vec<Vec<String>> = servers
         .into_iter()
         .map(|(server, counts)| counts_row(server.clone(), counts))
@@ -82,29 +82,29 @@
         .collect();
     println!("{}\n", counts_table("second", &seconds));
 
-    print_workspaces(&WorkspaceSummary::of(events));
+    print_workspaces(&WorkspaceSummary::from_events(events));
 
-    let spreads = [
-        ("measured by expected time", &summary.ratios),
-        ("age of load, ms", &summary.load_ages_ms),
+    let distributions = [
+        ("measured / expected time to first event", &summary.ratios),
+        ("age of load report, ms", &summary.load_ages_ms),
     ];
-    for (name, values) in spreads {
-        if let Some(spread) = spread(values) {
+    for (name, values) in distributions {
+        if let Some(percentiles) = percentiles(values) {
             println!(
-                "{name}: {} values, lowest tenth {:.2}, middle {:.2}, highest tenth {:.2}",
-                spread.count, spread.low, spread.middle, spread.high
+                "{name}: {} values, p10 {:.2}, p50 {:.2}, p90 {:.2}",
+                percentiles.count, percentiles.p10, percentiles.p50, percentiles.p90
             );
         }
     }
     if summary.left_out > 0 {
         println!(
-            "{} lines were left out by the logs; the counts are of those written",
+            "{} lines were left out by the logs; the counts cover only the lines that were written",
             summary.left_out
         );
     }
 }
 
-/// Prints the tokens of each workspace and its worst window, the worst of all first.
+/// Prints the tokens of each workspace and its worst window, sorted from worst to best.
 fn print_workspaces(summary: &WorkspaceSummary) {
     let windows = summary.worst_windows();
     let window_of = |name: &String| windows.iter().find(|window| window.workspace == *name);
@@ -152,14 +152,14 @@
     ];
     println!("{}", render_table(&header, &rows));
     println!(
-        "worst ratio: what a workspace got by half of what it was owed, over {WINDOW_S} s in each of which it was \
-         refused or late; below 1 it got far less than its share\n"
+        "worst ratio: tokens begun plus slack, divided by half of the tokens the workspace was entitled to, \
+         over {WINDOW_S} s with a refused or late request in each second; below 1 it got far less than its share\n"
     );
 }
 
-fn counts_table(first: &str, rows: &[Vec<String>]) -> String {
+fn counts_table(first_column: &str, rows: &[Vec<String>]) -> String {
     render_table(
-        &[first, "placed", "answered", "refused", "failed", "retried"],
+        &[first_column, "placed", "answered", "refused", "failed", "retried"],
         rows,
     )
 }
--- a/crates/reedsail_cli/src/table.rs
+++ b/crates/reedsail_cli/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables for people.
+//! Renders plain-text tables.
 
-/// Writes rows under a header, each column as wide as its widest cell.
+/// Renders rows under a header. Each column is as wide as its widest cell.
 pub(crate) fn render_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|cell| cell.len()).collect();
     for row in rows {
--- a/crates/reedsail_cli/src/timeline_command.rs
+++ b/crates/reedsail_cli/src/timeline_command.rs
@@ -12,16 +12,16 @@
 use crate::log_lines::read_events;
 use crate::table::render_table;
 
-/// Merges the events of daemons and files into one order.
+/// Merges the events of instances and files into one timeline.
 pub(crate) async fn run(flags: &Timeline) -> Result<(), Failure> {
     let mut events = Vec::new();
-    for daemon in &flags.daemon {
-        let (_, body) = admin_client::get(*daemon, "/events").await?;
+    for address in &flags.daemon {
+        let (_, body) = admin_client::get(*address, "/events").await?;
         let text = String::from_utf8_lossy(&body);
-        events.extend(LogEvents::of(&text, &daemon.to_string()).complete()?);
+        events.extend(LogEvents::parse(&text, &address.to_string()).require_complete()?);
     }
     for file in &flags.file {
-        events.extend(read_events(file)?.complete()?);
+        events.extend(read_events(file)?.require_complete()?);
     }
     let events = merge_events(events);
     if let Some(file) = &flags.chrome {
--- a/crates/reedsail_cli/tests/cli.rs
+++ b/crates/reedsail_cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The whole life of a bundle through the command-line tool, against a running fleet.
+//! Runs every step of a bundle's publication with the command-line tool against a running fleet.
 
 use std::path::Path;
 use std::process::Command;
@@ -23,25 +23,25 @@
         .unwrap()
 }
 
-fn text(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let both = [output.stdout.as_slice(), output.stderr.as_slice()].concat();
     String::from_utf8(both).unwrap()
 }
 
-fn expect(output: &Output, code: i32, part: &str) {
-    assert_eq!(output.status.code(), Some(code), "{}", text(output));
+fn assert_output(output: &Output, code: i32, expected_text: &str) {
+    assert_eq!(output.status.code(), Some(code), "{}", output_text(output));
     assert!(
-        text(output).contains(part),
-        "`{part}` is not in: {}",
-        text(output)
+        output_text(output).contains(expected_text),
+        "`{expected_text}` is not in: {}",
+        output_text(output)
     );
 }
 
 fn make_key(folder: &Path, name: &str, role: KeyRole) -> TrustedKey {
     let file = format!("{name}.key");
     let output = reedsail(folder, &["keys", "new", "--name", name, "--out", &file]);
-    expect(&output, 0, "trusted_keys");
-    let printed = text(&output);
+    assert_output(&output, 0, "trusted_keys");
+    let printed = output_text(&output);
     let digits = printed
         .split("key: ")
         .nth(1)
@@ -81,15 +81,15 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "one session from its beginning to its end")]
-fn a_bundle_from_the_first_key_to_being_in_force() {
+#[allow(clippy::too_many_lines, reason = "each step depends on the previous ones")]
+fn a_new_bundle_is_signed_approved_and_published() {
     let folder = tempfile::tempdir().unwrap();
     let folder = folder.path();
     let trusted = [
         make_key(folder, "ada", KeyRole::Author),
         make_key(folder, "ben", KeyRole::Approver),
     ];
-    expect(
+    assert_output(
         &reedsail(folder, &["keys", "new", "--name", "ada", "--out", "ada.key"]),
         2,
         "cannot write",
@@ -114,28 +114,28 @@
     std::fs::write(folder.join("base.yaml"), &base).unwrap();
     std::fs::write(folder.join("next.yaml"), &next).unwrap();
     std::fs::write(folder.join("bad.yaml"), next.replace("weight: 5", "weight: -5")).unwrap();
-    expect(&reedsail(folder, &["bundle", "new", "new.yaml"]), 0, "written");
-    expect(
+    assert_output(&reedsail(folder, &["bundle", "new", "new.yaml"]), 0, "written");
+    assert_output(
         &reedsail(folder, &["bundle", "check", "new.yaml"]),
         0,
         "no faults",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["bundle", "check", "bad.yaml"]),
         1,
         "`-5` must be a number",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["bundle", "check", "bad.yaml", "--json"]),
         1,
         "\"valid\":false",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["bundle", "check", "none.yaml"]),
         2,
         "cannot read none.yaml",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["bundle", "diff", "base.yaml", "next.yaml"]),
         0,
         "+weight: 5.0",
@@ -161,34 +161,34 @@
             ],
         )
     };
-    expect(&sign("base.yaml"), 3, "write `version: 2`");
-    expect(&sign("next.yaml"), 0, "signed by ada");
-    expect(&publish(), 1, "is not approved");
-    expect(&approve("ada.key"), 1, "another person must approve");
-    expect(&approve("ben.key"), 0, "approved by ben");
-    expect(&publish(), 0, "version 2 is in force on hall-a-1");
-    expect(&publish(), 3, "another version came into force");
-    expect(
+    assert_output(&sign("base.yaml"), 3, "write `version: 2`");
+    assert_output(&sign("next.yaml"), 0, "signed by ada");
+    assert_output(&publish(), 1, "is not approved");
+    assert_output(&approve("ada.key"), 1, "another person must approve");
+    assert_output(&approve("ben.key"), 0, "approved by ben");
+    assert_output(&publish(), 0, "version 2 is in force on hall-a-1");
+    assert_output(&publish(), 3, "another version came into force");
+    assert_output(
         &reedsail(folder, &["bundle", "status", "--daemon", &admin]),
         0,
         "hall-a-1  2",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["fleet", "status", "--daemon", &admin]),
         0,
         "booking-api",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["fleet", "status", "--json", "--daemon", &admin]),
         0,
         "\"bundle_version\":2",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["fleet", "status", "--daemon", "127.0.0.1:1"]),
         4,
         "no answer from",
     );
-    expect(
+    assert_output(
         &reedsail(folder, &["timeline", "--daemon", &admin]),
         0,
         "200 bundle_in_force",
@@ -196,11 +196,11 @@
     let lines = reedsail(folder, &["timeline", "--json", "--daemon", &admin]);
     std::fs::write(folder.join("events.log"), &lines.stdout).unwrap();
     let chrome = reedsail(folder, &["timeline", "events.log", "--chrome", "trace.json"]);
-    expect(&chrome, 0, "");
+    assert_output(&chrome, 0, "");
     let trace = std::fs::read_to_string(folder.join("trace.json")).unwrap();
     assert!(trace.contains("traceEvents"));
     std::fs::write(folder.join("next.yaml"), next.replace("weight: 5", "weight: 6")).unwrap();
-    expect(&approve("ben.key"), 1, "was changed after it was signed");
-    expect(&reedsail(folder, &["nonsense"]), 2, "is no command");
+    assert_output(&approve("ben.key"), 1, "was changed after it was signed");
+    assert_output(&reedsail(folder, &["nonsense"]), 2, "unknown command `nonsense`");
     runtime.block_on(fleet.close());
 }
--- a/crates/reedsail_cli/tests/golden.rs
+++ b/crates/reedsail_cli/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The command line of `reedsail`, pinned: help texts, faults of use, exit codes.
+//! Snapshot tests of the help texts, usage errors and exit codes of `reedsail`.
 
 use std::process::Command;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn help_texts_keep_their_form() {
+fn help_texts_match_snapshots() {
     insta::assert_snapshot!("help", run(&["--help"]));
     for command in ["bundle", "fleet", "timeline", "requests", "keys"] {
         insta::assert_snapshot!(format!("help_{command}"), run(&[command, "--help"]));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn requests_are_counted_and_followed() {
+fn requests_are_counted_and_printed_by_id() {
     let log = "tests/recorded/router.log";
     insta::assert_snapshot!("requests", run(&["requests", log]));
     insta::assert_snapshot!("requests_one", run(&["requests", log, "--request", "id-2"]));
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn workspaces_that_get_too_little_come_first() {
+fn workspaces_below_their_share_are_listed_first() {
     insta::assert_snapshot!("shares", run(&["requests", "tests/recorded/shares.log"]));
 }
 
 #[test]
-fn wrong_use_and_unreachable_daemons_keep_their_exit_codes() {
+fn invalid_usage_and_unreachable_instances_keep_their_exit_codes() {
     insta::assert_snapshot!("unknown_command", run(&["colour"]));
     insta::assert_snapshot!("missing_file", run(&["bundle", "check", "no-such-file.yaml"]));
-    // Port 1 is never listened on.
+    // No process listens on port 1.
     let status = Command::new(env!("CARGO_BIN_EXE_reedsail"))
         .args(["fleet", "status", "--daemon", "127.0.0.1:1"])
         .status()
