--- a/crates/reedsail_cli/src/requests_command.rs
+++ b/crates/reedsail_cli/src/requests_command.rs
@@ -152,8 +152,9 @@
     ];
     println!("{}", render_table(&header, &rows));
     println!(
-        "worst ratio: tokens begun plus slack, divided by half of the tokens the workspace was entitled to, \
-         over {WINDOW_S} s with a refused or late request in each second; below 1 it got far less than its share\n"
+        "worst ratio: tokens begun plus slack, divided by half of the tokens the workspace was entitled to, over \
+         {WINDOW_S} s with a refused or late request in each second; \
+         below 1 it got far less than its share\n"
     );
 }
 
