--- a/crates/reedsail_bench/tests/failures.rs
+++ b/crates/reedsail_bench/tests/failures.rs
@@ -440,7 +440,7 @@
 /// 1,000 ms after the end of a cut between them. `lease_handover.rs` of `reedsail_scheduling` checks the leases of
 /// all instances against the slots.
 #[test]
-fn a_frozen_instance_starts_no_request_after_its_lease_and_resumes_when_thawed() {
+fn a_frozen_daemon_starts_nothing_after_its_lease_and_goes_on_when_thawed() {
     run(async {
         let fleet = common::small_fleet(1, 2).await;
         let frozen = "hall-a-1";
